--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -133,7 +133,6 @@
   if (!SpawnStandin("kv", "kv", {})) return false;
   const std::string lag = std::to_string(spec_.vm_list_lag_ms);
   if (!SpawnStandin("vm-list", "vm_list", {"--lag-ms", lag})) return false;
-  if (!SpawnStandin("weights", "weight_store", {})) return false;
   const auto with_proxy = [&](const std::string& name) {
     if (!spec_.proxy_targets) return true;
     return SpawnStandin(name + "-proxy", "fault_proxy",
--- a/testing/standins.h
+++ b/testing/standins.h
@@ -48,9 +48,6 @@
 // is gone), /control/mode?mode=normal|hang
 int RunVmListStandin(const StandinFlags& flags, int lag_ms);
 
-// The weight store: GET /weights/<name>, at a limited rate.
-int RunWeightStandin(const StandinFlags& flags, int kilobytes_per_second);
-
 // A TCP proxy that breaks connections on command.
 // Controls: /control/mode?mode=pass|cut|freeze|drop_answers&delay_ms=N
 int RunFaultProxy(const StandinFlags& flags, const std::string& upstream);
--- a/testing/standins_main.cc
+++ b/testing/standins_main.cc
@@ -17,7 +17,6 @@
   std::string name = "service";
   std::string upstream;
   int lag_ms = 500;
-  int rate_kb = 10240;
   int code = 0;
   const auto add = [&](const char* command, auto run) {
     CLI::App* it = app.add_subcommand(command);
@@ -44,9 +43,6 @@
   it = add("vm_list",
            [&] { return quaytrack::RunVmListStandin(flags, lag_ms); });
   it->add_option("--lag-ms", lag_ms);
-  it = add("weight_store",
-           [&] { return quaytrack::RunWeightStandin(flags, rate_kb); });
-  it->add_option("--kb-per-second", rate_kb);
   it = add("fault_proxy",
            [&] { return quaytrack::RunFaultProxy(flags, upstream); });
   it->add_option("--upstream", upstream)->required();
