--- a/ledger/prepaid_ledger.cc
+++ b/prepaid/prepaid_ledger.cc
@@ -1,4 +1,4 @@
-#include "ledger/prepaid_ledger.h"
+#include "prepaid/prepaid_ledger.h"
 
 #include <algorithm>
 #include <utility>
--- a/ledger/prepaid_ledger.h
+++ b/prepaid/prepaid_ledger.h
@@ -26,15 +26,15 @@
 // revision, so at most one is applied; its sequence number tells which.
 //
 // Time alone never passes authority: nothing here reclaims a grant because its
-// holder has been silent (see ledger/prepaid_record.h, Closing).
+// holder has been silent (see prepaid/prepaid_record.h, Closing).
 //
 // Sizes. All routers together keep `standing_share` of what remains of a
 // budget, in equal parts; a router that spends much keeps `cover` of its own
 // spending if that is more. An outage comes unannounced, and what is kept is
 // charged when all power is lost: docs/design/prepaid.md has the figures.
 
-#ifndef QUAYTRACK_LEDGER_PREPAID_LEDGER_H_
-#define QUAYTRACK_LEDGER_PREPAID_LEDGER_H_
+#ifndef QUAYTRACK_PREPAID_PREPAID_LEDGER_H_
+#define QUAYTRACK_PREPAID_PREPAID_LEDGER_H_
 
 #include <cstdint>
 #include <map>
@@ -46,7 +46,7 @@
 #include "base/enum_table.h"
 #include "base/ids.h"
 #include "base/rate.h"
-#include "ledger/prepaid_record.h"
+#include "prepaid/prepaid_record.h"
 
 namespace quaytrack {
 
@@ -294,4 +294,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_LEDGER_PREPAID_LEDGER_H_
+#endif  // QUAYTRACK_PREPAID_PREPAID_LEDGER_H_
--- a/ledger/prepaid_record.cc
+++ b/prepaid/prepaid_record.cc
@@ -1,4 +1,4 @@
-#include "ledger/prepaid_record.h"
+#include "prepaid/prepaid_record.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/ledger/prepaid_record.h
+++ b/prepaid/prepaid_record.h
@@ -30,8 +30,8 @@
 // only bounds what it did before. A cut from the store outlasts the lock, and
 // then the whole grant may be spent.
 
-#ifndef QUAYTRACK_LEDGER_PREPAID_RECORD_H_
-#define QUAYTRACK_LEDGER_PREPAID_RECORD_H_
+#ifndef QUAYTRACK_PREPAID_PREPAID_RECORD_H_
+#define QUAYTRACK_PREPAID_PREPAID_RECORD_H_
 
 #include <cstdint>
 #include <map>
@@ -116,4 +116,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_LEDGER_PREPAID_RECORD_H_
+#endif  // QUAYTRACK_PREPAID_PREPAID_RECORD_H_
--- a/ledger/testing/prepaid_ledger_test.cc
+++ b/prepaid/testing/ledger_test.cc
@@ -1,10 +1,10 @@
 // Single decisions of the prepaid ledger. Random histories are in
 // prepaid_property_test.cc.
 
-#include "ledger/prepaid_ledger.h"
-
 #include <boost/test/unit_test.hpp>
 
+#include "prepaid/prepaid_ledger.h"
+
 namespace quaytrack {
 namespace {
 
--- a/ledger/testing/prepaid_property_test.cc
+++ b/prepaid/testing/property_test.cc
@@ -11,7 +11,7 @@
 #include <random>
 #include <vector>
 
-#include "ledger/prepaid_ledger.h"
+#include "prepaid/prepaid_ledger.h"
 
 namespace quaytrack {
 namespace {
--- a/relay/remote_holds.h
+++ b/relay/remote_holds.h
@@ -10,7 +10,7 @@
 //     told that the hold cost nothing, as the request has not been sent yet;
 //   - a cost that isn't acknowledged is told again while the same incarnation
 //     of the holder lives; after its death the hold is part of what was charged
-//     for it (ledger/prepaid_record.h, Closing);
+//     for it (prepaid/prepaid_record.h, Closing);
 //   - this router's death: the holder charges the whole amount when a later
 //     incarnation of this VM says hello (relay/served_holds.h).
 
@@ -26,7 +26,7 @@
 
 #include "base/clock.h"
 #include "base/ids.h"
-#include "ledger/prepaid_ledger.h"
+#include "prepaid/prepaid_ledger.h"
 #include "relay/peer_messages.h"
 
 namespace quaytrack {
