--- a/route/link_watch.h
+++ b/dispatch/link_watch.h
@@ -11,8 +11,8 @@
 // until it has eased; those that are open stay, so the load spreads over as
 // many routers as it needs.
 
-#ifndef QUAYTRACK_ROUTE_LINK_WATCH_H_
-#define QUAYTRACK_ROUTE_LINK_WATCH_H_
+#ifndef QUAYTRACK_DISPATCH_LINK_WATCH_H_
+#define QUAYTRACK_DISPATCH_LINK_WATCH_H_
 
 #include <algorithm>
 #include <cmath>
@@ -69,4 +69,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_ROUTE_LINK_WATCH_H_
+#endif  // QUAYTRACK_DISPATCH_LINK_WATCH_H_
--- a/route/placement.cc
+++ b/dispatch/placement.cc
@@ -1,4 +1,4 @@
-#include "route/placement.h"
+#include "dispatch/placement.h"
 
 #include <algorithm>
 #include <cmath>
--- a/route/placement.h
+++ b/dispatch/placement.h
@@ -25,8 +25,8 @@
 //
 // Other services: the least of outstanding requests per slot, same hall first.
 
-#ifndef QUAYTRACK_ROUTE_PLACEMENT_H_
-#define QUAYTRACK_ROUTE_PLACEMENT_H_
+#ifndef QUAYTRACK_DISPATCH_PLACEMENT_H_
+#define QUAYTRACK_DISPATCH_PLACEMENT_H_
 
 #include <cstdint>
 #include <map>
@@ -138,4 +138,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_ROUTE_PLACEMENT_H_
+#endif  // QUAYTRACK_DISPATCH_PLACEMENT_H_
--- a/route/retry_share.h
+++ b/dispatch/retry_share.h
@@ -6,8 +6,8 @@
 // with a margin, so that the sum keeps to the rule whatever the split of the
 // load ("Handling Overload", Google SRE book, 2016, per-client retry budgets).
 
-#ifndef QUAYTRACK_ROUTE_RETRY_SHARE_H_
-#define QUAYTRACK_ROUTE_RETRY_SHARE_H_
+#ifndef QUAYTRACK_DISPATCH_RETRY_SHARE_H_
+#define QUAYTRACK_DISPATCH_RETRY_SHARE_H_
 
 #include <algorithm>
 #include <deque>
@@ -65,4 +65,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_ROUTE_RETRY_SHARE_H_
+#endif  // QUAYTRACK_DISPATCH_RETRY_SHARE_H_
--- a/route/testing/link_watch_test.cc
+++ b/dispatch/testing/link_watch_test.cc
@@ -1,4 +1,4 @@
-#include "route/link_watch.h"
+#include "dispatch/link_watch.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/route/testing/placement_test.cc
+++ b/dispatch/testing/placement_test.cc
@@ -1,12 +1,12 @@
 // Where requests go, and how many retries there are.
 
-#include "route/placement.h"
+#include "dispatch/placement.h"
 
 #include <boost/test/unit_test.hpp>
 #include <map>
 #include <set>
 
-#include "route/retry_share.h"
+#include "dispatch/retry_share.h"
 
 namespace quaytrack {
 namespace {
--- a/relay/dialect.h
+++ b/relay/dialect.h
@@ -13,10 +13,10 @@
 
 #include "base/ids.h"
 #include "bundle/service_map.h"
+#include "dispatch/placement.h"
 #include "kv/store.h"
 #include "member/target_registry.h"
 #include "net/http_message.h"
-#include "route/placement.h"
 
 namespace quaytrack {
 
--- a/relay/relay_context.h
+++ b/relay/relay_context.h
@@ -10,11 +10,11 @@
 
 #include "base/clock.h"
 #include "bundle/service_map.h"
+#include "dispatch/placement.h"
+#include "dispatch/retry_share.h"
 #include "net/target_connection.h"
 #include "relay/dialect.h"
 #include "relay/relay_metrics.h"
-#include "route/placement.h"
-#include "route/retry_share.h"
 
 namespace quaytrack {
 
--- a/relay/relay_router.h
+++ b/relay/relay_router.h
@@ -8,6 +8,7 @@
 #include <string>
 
 #include "base/clock.h"
+#include "dispatch/link_watch.h"
 #include "net/caller_connection.h"
 #include "net/loop.h"
 #include "net/target_connection.h"
@@ -18,7 +19,6 @@
 #include "relay/relay_context.h"
 #include "relay/relay_metrics.h"
 #include "relay/relay_settings.h"
-#include "route/link_watch.h"
 #include "router/charts.h"
 
 namespace quaytrack {
