--- a/dispatch/placement.h
+++ b/dispatch/placement.h
@@ -39,7 +39,7 @@
 
 #include "base/clock.h"
 #include "base/ids.h"
-#include "member/target_registry.h"
+#include "fleet/target_registry.h"
 
 namespace quaytrack {
 
--- a/member/fleet.cc
+++ b/fleet/fleet.cc
@@ -1,4 +1,4 @@
-#include "member/fleet.h"
+#include "fleet/fleet.h"
 
 #include <algorithm>
 #include <utility>
--- a/member/fleet.h
+++ b/fleet/fleet.h
@@ -19,8 +19,8 @@
 // Lists that differ do no harm: a holder is whoever takes part in the record,
 // and one that doesn't says so.
 
-#ifndef QUAYTRACK_MEMBER_FLEET_H_
-#define QUAYTRACK_MEMBER_FLEET_H_
+#ifndef QUAYTRACK_FLEET_FLEET_H_
+#define QUAYTRACK_FLEET_FLEET_H_
 
 #include <cstddef>
 #include <map>
@@ -87,4 +87,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_MEMBER_FLEET_H_
+#endif  // QUAYTRACK_FLEET_FLEET_H_
--- a/member/target_registry.h
+++ b/fleet/target_registry.h
@@ -16,8 +16,8 @@
 //   registry.Release();                 // it has been back for a while
 //   for (const TargetName& it : registry.DropMissing()) ...   // gone after all
 
-#ifndef QUAYTRACK_MEMBER_TARGET_REGISTRY_H_
-#define QUAYTRACK_MEMBER_TARGET_REGISTRY_H_
+#ifndef QUAYTRACK_FLEET_TARGET_REGISTRY_H_
+#define QUAYTRACK_FLEET_TARGET_REGISTRY_H_
 
 #include <map>
 #include <set>
@@ -107,4 +107,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_MEMBER_TARGET_REGISTRY_H_
+#endif  // QUAYTRACK_FLEET_TARGET_REGISTRY_H_
--- a/member/testing/fleet_test.cc
+++ b/fleet/testing/fleet_test.cc
@@ -1,6 +1,6 @@
 // Which routers keep budgets, and whom the others ask.
 
-#include "member/fleet.h"
+#include "fleet/fleet.h"
 
 #include <boost/test/unit_test.hpp>
 #include <set>
--- a/member/testing/member_test.cc
+++ b/member/testing/member_test.cc
@@ -1,7 +1,6 @@
 #include <boost/test/unit_test.hpp>
 
 #include "member/registry.h"
-#include "member/target_registry.h"
 #include "member/vm_tracker.h"
 
 namespace quaytrack {
@@ -115,53 +114,5 @@
   BOOST_TEST(registry.WitnessFor(self, avoided).value != "vm-3@1-a");
 }
 
-TargetEntry Entry(const char* name, bool leaving = false) {
-  TargetEntry out;
-  out.name = TargetName(name);
-  out.leaving = leaving;
-  return out;
-}
-
-struct HeldFixture {
-  HeldFixture() {
-    registry.Replace({Entry("lapsed"), Entry("dead"), Entry("leaving")});
-    registry.Put(Entry("leaving", true));
-    registry.Hold();
-    registry.Replace({});
-  }
-  bool Listed(const char* name) const {
-    return registry.entries().contains(TargetName(name));
-  }
-  TargetRegistry registry;
-};
-
-BOOST_FIXTURE_TEST_CASE(WhatVanishesInAnOutageStaysForAWhile, HeldFixture) {
-  BOOST_TEST(Listed("lapsed"));
-  BOOST_TEST(Listed("dead"));
-  BOOST_TEST(!Listed("leaving"));
-}
-
-BOOST_FIXTURE_TEST_CASE(WhatIsNotListedAgainIsGone, HeldFixture) {
-  registry.Put(Entry("lapsed"));
-  const std::set<TargetName> gone = registry.DropMissing();
-  BOOST_TEST((gone == std::set<TargetName>{TargetName("dead")}));
-  BOOST_TEST(Listed("lapsed"));
-  BOOST_TEST(!Listed("dead"));
-}
-
-BOOST_FIXTURE_TEST_CASE(AHeldTargetThatLeavesIsLeaving, HeldFixture) {
-  registry.Put(Entry("lapsed", true));
-  BOOST_TEST(registry.entries().at(TargetName("lapsed")).leaving);
-  registry.Remove(TargetName("lapsed"));
-  BOOST_TEST(!Listed("lapsed"));
-}
-
-BOOST_FIXTURE_TEST_CASE(WithoutAnOutageWhatVanishesIsGone, HeldFixture) {
-  registry.Release();
-  registry.Put(Entry("lapsed"));
-  BOOST_TEST(registry.Remove(TargetName("lapsed")));
-  BOOST_TEST(!Listed("lapsed"));
-}
-
 }  // namespace
 }  // namespace quaytrack
--- a/relay/budget_driver.h
+++ b/relay/budget_driver.h
@@ -2,7 +2,7 @@
 // requests that wait for a larger part of a budget.
 //
 // In a large fleet most routers take no part in the ledger; they ask those that
-// do, the holders, for each request (member/fleet.h).
+// do, the holders, for each request (fleet/fleet.h).
 
 #ifndef QUAYTRACK_RELAY_BUDGET_DRIVER_H_
 #define QUAYTRACK_RELAY_BUDGET_DRIVER_H_
@@ -15,8 +15,8 @@
 
 #include "base/rate.h"
 #include "bundle/service_map.h"
+#include "fleet/fleet.h"
 #include "kv/store.h"
-#include "member/fleet.h"
 #include "net/loop.h"
 #include "prepaid/prepaid_ledger.h"
 #include "relay/budget_user.h"
--- a/relay/config_driver.h
+++ b/relay/config_driver.h
@@ -16,8 +16,8 @@
 #include <vector>
 
 #include "bundle/service_map.h"
+#include "fleet/target_registry.h"
 #include "kv/follower.h"
-#include "member/target_registry.h"
 #include "net/loop.h"
 #include "relay/dialect.h"
 #include "relay/peer_messages.h"
@@ -39,7 +39,7 @@
   void Start();
   void OnPeer(const PeerMessage& message);
   // Some user of the store lost it, or has it back. Targets that vanish from
-  // the list around that are kept for a while (member/target_registry.h).
+  // the list around that are kept for a while (fleet/target_registry.h).
   void OnStoreReachable(bool reachable);
 
   const ServiceMapPtr& map() const { return map_; }
--- a/relay/dialect.h
+++ b/relay/dialect.h
@@ -14,8 +14,8 @@
 #include "base/ids.h"
 #include "bundle/service_map.h"
 #include "dispatch/placement.h"
+#include "fleet/target_registry.h"
 #include "kv/store.h"
-#include "member/target_registry.h"
 #include "net/http_message.h"
 
 namespace quaytrack {
--- a/relay/fleet_driver.h
+++ b/relay/fleet_driver.h
@@ -1,4 +1,4 @@
-// Keeps the list of routers (member/fleet.h) up to date: each writes an entry
+// Keeps the list of routers (fleet/fleet.h) up to date: each writes an entry
 // of its own into the store when it starts, and reads all of them now and then.
 // Between reads, routers that link to this one say where they are.
 //
@@ -14,8 +14,8 @@
 #include <string>
 #include <utility>
 
+#include "fleet/fleet.h"
 #include "kv/store.h"
-#include "member/fleet.h"
 #include "net/loop.h"
 
 namespace quaytrack {
--- a/relay/peer_mesh.h
+++ b/relay/peer_mesh.h
@@ -1,5 +1,5 @@
 // Links to other routers. Whom to dial comes from the list of routers
-// (member/fleet.h); the links stay up while the store is away.
+// (fleet/fleet.h); the links stay up while the store is away.
 //
 // Either side may dial, and each says first who it is. A link on which nothing
 // was heard for a while is closed and dialled again, since a cut says nothing.
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "member/fleet.h"
+#include "fleet/fleet.h"
 #include "net/loop.h"
 #include "net/peer_link.h"
 #include "relay/peer_messages.h"
--- a/relay/relay_settings.h
+++ b/relay/relay_settings.h
@@ -62,7 +62,7 @@
   // From SIGTERM until the process is killed.
   std::chrono::seconds drain_time{};
   double standing_share = 0.3;
-  // See member/fleet.h.
+  // See fleet/fleet.h.
   int small_fleet = 12;
   int holders_per_hall = 3;
   // Megabits a second of the VM's network link; 0 if it isn't known.
