--- a/bundle/service_map.cc
+++ b/config/service_map.cc
@@ -1,4 +1,4 @@
-#include "bundle/service_map.h"
+#include "config/service_map.h"
 
 #include <numeric>
 #include <utility>
--- a/bundle/service_map.h
+++ b/config/service_map.h
@@ -8,8 +8,8 @@
 // under (`std::shared_ptr<const ServiceMap>`), so that a change of the
 // configuration doesn't reach into requests that are running.
 
-#ifndef QUAYTRACK_BUNDLE_SERVICE_MAP_H_
-#define QUAYTRACK_BUNDLE_SERVICE_MAP_H_
+#ifndef QUAYTRACK_CONFIG_SERVICE_MAP_H_
+#define QUAYTRACK_CONFIG_SERVICE_MAP_H_
 
 #include <chrono>
 #include <cstdint>
@@ -134,4 +134,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_BUNDLE_SERVICE_MAP_H_
+#endif  // QUAYTRACK_CONFIG_SERVICE_MAP_H_
--- a/relay/budget_driver.h
+++ b/relay/budget_driver.h
@@ -14,7 +14,7 @@
 #include <random>
 
 #include "base/rate.h"
-#include "bundle/service_map.h"
+#include "config/service_map.h"
 #include "fleet/fleet.h"
 #include "kv/store.h"
 #include "net/loop.h"
--- a/relay/config_driver.h
+++ b/relay/config_driver.h
@@ -15,7 +15,7 @@
 #include <memory>
 #include <vector>
 
-#include "bundle/service_map.h"
+#include "config/service_map.h"
 #include "fleet/target_registry.h"
 #include "kv/follower.h"
 #include "net/loop.h"
--- a/relay/dialect.h
+++ b/relay/dialect.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "bundle/service_map.h"
+#include "config/service_map.h"
 #include "dispatch/placement.h"
 #include "fleet/target_registry.h"
 #include "kv/store.h"
--- a/relay/relay_context.h
+++ b/relay/relay_context.h
@@ -9,7 +9,7 @@
 #include <set>
 
 #include "base/clock.h"
-#include "bundle/service_map.h"
+#include "config/service_map.h"
 #include "dispatch/placement.h"
 #include "dispatch/retry_share.h"
 #include "net/target_connection.h"
--- a/relay/relay_metrics.h
+++ b/relay/relay_metrics.h
@@ -19,7 +19,7 @@
 
 #include "base/clock.h"
 #include "base/ids.h"
-#include "bundle/service_map.h"
+#include "config/service_map.h"
 
 namespace quaytrack {
 
