--- a/cli/budget_commands.cc
+++ b/cli/budget_commands.cc
@@ -12,7 +12,7 @@
 #include "cli/commands.h"
 #include "cli/exit_codes.h"
 #include "cli/kv_session.h"
-#include "kv/keys.h"
+#include "etcd/keys.h"
 #include "ledger/bill.h"
 #include "ledger/record.h"
 
--- a/cli/bundle_commands.cc
+++ b/cli/bundle_commands.cc
@@ -17,7 +17,7 @@
 #include "cli/commands.h"
 #include "cli/exit_codes.h"
 #include "cli/kv_session.h"
-#include "kv/keys.h"
+#include "etcd/keys.h"
 #include "member/registry.h"
 
 namespace quaytrack {
--- a/cli/kv_session.h
+++ b/cli/kv_session.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "kv/kv.h"
+#include "etcd/kv.h"
 #include "net/http_client.h"
 #include "net/loop.h"
 
--- a/kv/keys.h
+++ b/etcd/keys.h
@@ -1,7 +1,7 @@
 // Names of everything that quaytrack keeps in the key-value service.
 
-#ifndef QUAYTRACK_KV_KEYS_H_
-#define QUAYTRACK_KV_KEYS_H_
+#ifndef QUAYTRACK_ETCD_KEYS_H_
+#define QUAYTRACK_ETCD_KEYS_H_
 
 #include <cstdint>
 #include <cstdio>
@@ -62,4 +62,4 @@
 
 }  // namespace quaytrack::keys
 
-#endif  // QUAYTRACK_KV_KEYS_H_
+#endif  // QUAYTRACK_ETCD_KEYS_H_
--- a/kv/kv.cc
+++ b/etcd/kv.cc
@@ -1,11 +1,11 @@
-#include "kv/kv.h"
+#include "etcd/kv.h"
 
 #include <event2/buffer.h>
 
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "kv/kv_json.h"
+#include "etcd/kv_json.h"
 
 namespace quaytrack {
 namespace {
--- a/kv/kv.h
+++ b/etcd/kv.h
@@ -12,8 +12,8 @@
 //   txn.puts.push_back({"k", "v", 0});
 //   kv.Txn(txn, [](const KvTxnReply& it) {...});
 
-#ifndef QUAYTRACK_KV_KV_H_
-#define QUAYTRACK_KV_KV_H_
+#ifndef QUAYTRACK_ETCD_KV_H_
+#define QUAYTRACK_ETCD_KV_H_
 
 #include <cstdint>
 #include <functional>
@@ -148,4 +148,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_KV_KV_H_
+#endif  // QUAYTRACK_ETCD_KV_H_
--- a/kv/kv_json.cc
+++ b/etcd/kv_json.cc
@@ -1,4 +1,4 @@
-#include "kv/kv_json.h"
+#include "etcd/kv_json.h"
 
 #include <nlohmann/json.hpp>
 
--- a/kv/kv_json.h
+++ b/etcd/kv_json.h
@@ -1,7 +1,7 @@
 // The JSON of the etcd v3 gateway, as far as KvClient speaks it.
 
-#ifndef QUAYTRACK_KV_KV_JSON_H_
-#define QUAYTRACK_KV_KV_JSON_H_
+#ifndef QUAYTRACK_ETCD_KV_JSON_H_
+#define QUAYTRACK_ETCD_KV_JSON_H_
 
 #include <cstdint>
 #include <optional>
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "kv/kv.h"
+#include "etcd/kv.h"
 
 namespace quaytrack {
 
@@ -31,4 +31,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_KV_KV_JSON_H_
+#endif  // QUAYTRACK_ETCD_KV_JSON_H_
--- a/kv/retention_lease.cc
+++ b/etcd/retention_lease.cc
@@ -1,4 +1,4 @@
-#include "kv/retention_lease.h"
+#include "etcd/retention_lease.h"
 
 namespace quaytrack {
 namespace {
--- a/kv/retention_lease.h
+++ b/etcd/retention_lease.h
@@ -4,14 +4,14 @@
 // the calls for each record. A record lives between `retention` and
 // `retention` plus an hour.
 
-#ifndef QUAYTRACK_KV_RETENTION_LEASE_H_
-#define QUAYTRACK_KV_RETENTION_LEASE_H_
+#ifndef QUAYTRACK_ETCD_RETENTION_LEASE_H_
+#define QUAYTRACK_ETCD_RETENTION_LEASE_H_
 
 #include <cstdint>
 #include <memory>
 
 #include "base/clock.h"
-#include "kv/kv.h"
+#include "etcd/kv.h"
 #include "net/loop.h"
 
 namespace quaytrack {
@@ -38,4 +38,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_KV_RETENTION_LEASE_H_
+#endif  // QUAYTRACK_ETCD_RETENTION_LEASE_H_
--- a/router/bundle_driver.cc
+++ b/router/bundle_driver.cc
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "base/log.h"
-#include "kv/keys.h"
+#include "etcd/keys.h"
 
 namespace quaytrack {
 namespace {
--- a/router/bundle_driver.h
+++ b/router/bundle_driver.h
@@ -10,7 +10,7 @@
 #include <memory>
 
 #include "bundle/keeper.h"
-#include "kv/kv.h"
+#include "etcd/kv.h"
 #include "net/loop.h"
 
 namespace quaytrack {
--- a/router/claim_driver.cc
+++ b/router/claim_driver.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "kv/keys.h"
+#include "etcd/keys.h"
 
 namespace quaytrack {
 namespace {
--- a/router/claim_driver.h
+++ b/router/claim_driver.h
@@ -8,8 +8,8 @@
 
 #include "base/clock.h"
 #include "claim/claim.h"
-#include "kv/kv.h"
-#include "kv/retention_lease.h"
+#include "etcd/kv.h"
+#include "etcd/retention_lease.h"
 #include "net/loop.h"
 
 namespace quaytrack {
--- a/router/ledger_codec.cc
+++ b/router/ledger_codec.cc
@@ -1,6 +1,6 @@
 #include "router/ledger_codec.h"
 
-#include "kv/keys.h"
+#include "etcd/keys.h"
 
 namespace quaytrack {
 
--- a/router/ledger_codec.h
+++ b/router/ledger_codec.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "kv/kv.h"
+#include "etcd/kv.h"
 #include "ledger/sync.h"
 
 namespace quaytrack {
--- a/router/ledger_driver.cc
+++ b/router/ledger_driver.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "base/log.h"
-#include "kv/keys.h"
+#include "etcd/keys.h"
 #include "router/ledger_codec.h"
 
 namespace quaytrack {
--- a/router/ledger_driver.h
+++ b/router/ledger_driver.h
@@ -7,8 +7,8 @@
 #include <memory>
 
 #include "base/clock.h"
-#include "kv/kv.h"
-#include "kv/retention_lease.h"
+#include "etcd/kv.h"
+#include "etcd/retention_lease.h"
 #include "ledger/sync.h"
 #include "net/loop.h"
 
--- a/router/membership.h
+++ b/router/membership.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "base/clock.h"
-#include "kv/kv.h"
+#include "etcd/kv.h"
 #include "member/registry.h"
 #include "member/vm_tracker.h"
 #include "net/http_client.h"
--- a/router/recovery_driver.cc
+++ b/router/recovery_driver.cc
@@ -4,8 +4,8 @@
 #include <utility>
 
 #include "base/log.h"
-#include "kv/keys.h"
-#include "kv/kv_json.h"
+#include "etcd/keys.h"
+#include "etcd/kv_json.h"
 #include "router/ledger_codec.h"
 #include "router/sse_relay.h"
 
--- a/router/recovery_driver.h
+++ b/router/recovery_driver.h
@@ -13,7 +13,7 @@
 #include <memory>
 #include <vector>
 
-#include "kv/kv.h"
+#include "etcd/kv.h"
 #include "ledger/recovery.h"
 #include "net/http_client.h"
 #include "net/loop.h"
--- a/router/router.h
+++ b/router/router.h
@@ -9,8 +9,8 @@
 #include <string>
 
 #include "base/clock.h"
-#include "kv/kv.h"
-#include "kv/retention_lease.h"
+#include "etcd/kv.h"
+#include "etcd/retention_lease.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "net/loop.h"
