--- a/cli/fleet_commands.cc
+++ b/cli/fleet_commands.cc
@@ -6,7 +6,7 @@
 
 #include "cli/commands.h"
 #include "cli/exit_codes.h"
-#include "net/http_client.h"
+#include "evhttp/http_client.h"
 #include "net/loop.h"
 
 namespace quaytrack {
--- a/cli/kv_session.h
+++ b/cli/kv_session.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "etcd/kv.h"
-#include "net/http_client.h"
+#include "evhttp/http_client.h"
 #include "net/loop.h"
 
 namespace quaytrack {
--- a/etcd/kv.h
+++ b/etcd/kv.h
@@ -21,7 +21,7 @@
 #include <string>
 #include <vector>
 
-#include "net/http_client.h"
+#include "evhttp/http_client.h"
 #include "net/loop.h"
 
 namespace quaytrack {
--- a/net/http_client.cc
+++ b/evhttp/http_client.cc
@@ -1,4 +1,4 @@
-#include "net/http_client.h"
+#include "evhttp/http_client.h"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
--- a/net/http_client.h
+++ b/evhttp/http_client.h
@@ -9,8 +9,8 @@
 // the kernel; then it certainly did not run. In every other failure it may have
 // run, and the end is kBroken or kTimedOut.
 
-#ifndef QUAYTRACK_NET_HTTP_CLIENT_H_
-#define QUAYTRACK_NET_HTTP_CLIENT_H_
+#ifndef QUAYTRACK_EVHTTP_HTTP_CLIENT_H_
+#define QUAYTRACK_EVHTTP_HTTP_CLIENT_H_
 
 #include <functional>
 #include <map>
@@ -18,7 +18,7 @@
 #include <string>
 #include <vector>
 
-#include "net/http_server.h"
+#include "evhttp/http_server.h"
 #include "net/loop.h"
 
 struct evbuffer;
@@ -125,4 +125,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_NET_HTTP_CLIENT_H_
+#endif  // QUAYTRACK_EVHTTP_HTTP_CLIENT_H_
--- a/net/http_server.cc
+++ b/evhttp/http_server.cc
@@ -1,4 +1,4 @@
-#include "net/http_server.h"
+#include "evhttp/http_server.h"
 
 #include <arpa/inet.h>
 #include <event2/buffer.h>
--- a/net/http_server.h
+++ b/evhttp/http_server.h
@@ -12,8 +12,8 @@
 // handled, so a separate close event watches the socket.) An exchange must be
 // ended even then; dropping the last reference ends it.
 
-#ifndef QUAYTRACK_NET_HTTP_SERVER_H_
-#define QUAYTRACK_NET_HTTP_SERVER_H_
+#ifndef QUAYTRACK_EVHTTP_HTTP_SERVER_H_
+#define QUAYTRACK_EVHTTP_HTTP_SERVER_H_
 
 #include <cstddef>
 #include <functional>
@@ -148,4 +148,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_NET_HTTP_SERVER_H_
+#endif  // QUAYTRACK_EVHTTP_HTTP_SERVER_H_
--- a/net/caller_connection.cc
+++ b/http/caller_connection.cc
@@ -1,4 +1,4 @@
-#include "net/caller_connection.h"
+#include "http/caller_connection.h"
 
 #include <charconv>
 #include <utility>
--- a/net/caller_connection.h
+++ b/http/caller_connection.h
@@ -11,8 +11,8 @@
 // that ends early never looks complete: a stream is sent in chunks, and `Abort`
 // leaves out the last one.
 
-#ifndef QUAYTRACK_NET_CALLER_CONNECTION_H_
-#define QUAYTRACK_NET_CALLER_CONNECTION_H_
+#ifndef QUAYTRACK_HTTP_CALLER_CONNECTION_H_
+#define QUAYTRACK_HTTP_CALLER_CONNECTION_H_
 
 #include <functional>
 #include <memory>
@@ -21,8 +21,8 @@
 #include <string_view>
 
 #include "base/clock.h"
+#include "http/http_parser.h"
 #include "net/http_message.h"
-#include "net/http_parser.h"
 #include "net/tcp_socket.h"
 
 namespace quaytrack {
@@ -144,4 +144,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_NET_CALLER_CONNECTION_H_
+#endif  // QUAYTRACK_HTTP_CALLER_CONNECTION_H_
--- a/net/http_parser.cc
+++ b/http/http_parser.cc
@@ -1,4 +1,4 @@
-#include "net/http_parser.h"
+#include "http/http_parser.h"
 
 #include <http_parser.h>
 
--- a/net/http_parser.h
+++ b/http/http_parser.h
@@ -13,8 +13,8 @@
 // caller. Beyond the library's own checks, a request is refused if it could be
 // understood in two ways (request smuggling, RFC 9112, 11.2).
 
-#ifndef QUAYTRACK_NET_HTTP_PARSER_H_
-#define QUAYTRACK_NET_HTTP_PARSER_H_
+#ifndef QUAYTRACK_HTTP_HTTP_PARSER_H_
+#define QUAYTRACK_HTTP_HTTP_PARSER_H_
 
 #include <cstddef>
 #include <functional>
@@ -69,4 +69,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_NET_HTTP_PARSER_H_
+#endif  // QUAYTRACK_HTTP_HTTP_PARSER_H_
--- a/net/target_connection.cc
+++ b/http/target_connection.cc
@@ -1,4 +1,4 @@
-#include "net/target_connection.h"
+#include "http/target_connection.h"
 
 #include <algorithm>
 #include <charconv>
--- a/net/target_connection.h
+++ b/http/target_connection.h
@@ -10,8 +10,8 @@
 // past, and the connection is not used again. Neither is one that sends bytes
 // nobody waits for, or answers before it has read the request.
 
-#ifndef QUAYTRACK_NET_TARGET_CONNECTION_H_
-#define QUAYTRACK_NET_TARGET_CONNECTION_H_
+#ifndef QUAYTRACK_HTTP_TARGET_CONNECTION_H_
+#define QUAYTRACK_HTTP_TARGET_CONNECTION_H_
 
 #include <functional>
 #include <map>
@@ -21,8 +21,8 @@
 #include <vector>
 
 #include "base/clock.h"
+#include "http/http_parser.h"
 #include "net/http_message.h"
-#include "net/http_parser.h"
 #include "net/tcp_socket.h"
 
 namespace quaytrack {
@@ -100,4 +100,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_NET_TARGET_CONNECTION_H_
+#endif  // QUAYTRACK_HTTP_TARGET_CONNECTION_H_
--- a/net/testing/http_parser_test.cc
+++ b/http/testing/http_parser_test.cc
@@ -1,7 +1,7 @@
 // The reader of HTTP messages: framing, limits, and what could be understood in
 // two ways.
 
-#include "net/http_parser.h"
+#include "http/http_parser.h"
 
 #include <rapidcheck.h>
 
--- a/relay/relay_context.h
+++ b/relay/relay_context.h
@@ -12,7 +12,7 @@
 #include "config/service_map.h"
 #include "dispatch/placement.h"
 #include "dispatch/retry_share.h"
-#include "net/target_connection.h"
+#include "http/target_connection.h"
 #include "relay/dialect.h"
 #include "relay/relay_metrics.h"
 
--- a/relay/relay_flow.h
+++ b/relay/relay_flow.h
@@ -20,8 +20,8 @@
 #include <string>
 
 #include "base/enum_table.h"
-#include "net/caller_connection.h"
-#include "net/target_connection.h"
+#include "http/caller_connection.h"
+#include "http/target_connection.h"
 #include "relay/budget_user.h"
 #include "relay/events.h"
 #include "relay/relay_context.h"
--- a/relay/relay_router.h
+++ b/relay/relay_router.h
@@ -9,9 +9,9 @@
 
 #include "base/clock.h"
 #include "dispatch/link_watch.h"
-#include "net/caller_connection.h"
+#include "http/caller_connection.h"
+#include "http/target_connection.h"
 #include "net/loop.h"
-#include "net/target_connection.h"
 #include "relay/budget_driver.h"
 #include "relay/config_driver.h"
 #include "relay/fleet_driver.h"
--- a/router/caller_api.h
+++ b/router/caller_api.h
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "bundle/bundle.h"
-#include "net/http_server.h"
+#include "evhttp/http_server.h"
 #include "router/request_reader.h"
 #include "router/request_table.h"
 
--- a/router/context.h
+++ b/router/context.h
@@ -11,7 +11,7 @@
 
 #include "base/clock.h"
 #include "bundle/bundle.h"
-#include "net/http_client.h"
+#include "evhttp/http_client.h"
 #include "net/loop.h"
 #include "route/retry_budget.h"
 #include "route/target_book.h"
--- a/router/load_poller.h
+++ b/router/load_poller.h
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "net/http_client.h"
+#include "evhttp/http_client.h"
 #include "net/loop.h"
 #include "route/target_book.h"
 
--- a/router/membership.h
+++ b/router/membership.h
@@ -9,9 +9,9 @@
 
 #include "base/clock.h"
 #include "etcd/kv.h"
+#include "evhttp/http_client.h"
 #include "member/registry.h"
 #include "member/vm_tracker.h"
-#include "net/http_client.h"
 #include "net/loop.h"
 
 namespace quaytrack {
--- a/router/recovery_driver.h
+++ b/router/recovery_driver.h
@@ -14,8 +14,8 @@
 #include <vector>
 
 #include "etcd/kv.h"
+#include "evhttp/http_client.h"
 #include "ledger/recovery.h"
-#include "net/http_client.h"
 #include "net/loop.h"
 #include "router/ledger_driver.h"
 #include "router/membership.h"
--- a/router/request_reader.h
+++ b/router/request_reader.h
@@ -21,7 +21,7 @@
 
 #include "base/ids.h"
 #include "bundle/bundle.h"
-#include "net/http_server.h"
+#include "evhttp/http_server.h"
 #include "route/wait_queue.h"
 #include "router/refusal.h"
 
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -26,7 +26,7 @@
 #include <vector>
 
 #include "bundle/signing.h"
-#include "net/http_client.h"
+#include "evhttp/http_client.h"
 #include "net/loop.h"
 
 namespace quaytrack {
--- a/testing/standin.h
+++ b/testing/standin.h
@@ -17,7 +17,7 @@
 
 #include "base/clock.h"
 #include "base/enum_table.h"
-#include "net/http_server.h"
+#include "evhttp/http_server.h"
 #include "net/loop.h"
 
 namespace quaytrack {
