--- a/cli/relay_command.cc
+++ b/cli/relay_command.cc
@@ -6,6 +6,7 @@
 
 #include "base/clock.h"
 #include "base/log.h"
+#include "chart/drain_chart.h"
 #include "cli/commands.h"
 #include "cli/exit_codes.h"
 #include "cli/run_process.h"
@@ -15,7 +16,6 @@
 #include "platform/platform_store.h"
 #include "relay/relay_router.h"
 #include "relay/relay_settings.h"
-#include "router/charts.h"
 
 namespace quaytrack {
 namespace {
@@ -26,7 +26,7 @@
     "\\\n"
     "      --listen 10.0.0.7:8080 --admin-listen 10.0.0.7:8081\n";
 
-int Serve(const RelaySettings& settings, const RouterCharts& charts) {
+int Serve(const RelaySettings& settings, const DrainChart& drain) {
   const SystemClock clock;
   const platform::PlatformCallers callers;
   const platform::PlatformTargets targets;
@@ -35,7 +35,7 @@
   TargetConnections connections(loop, clock);
   platform::PlatformStore store(loop, connections, {settings.store});
   RelayRouter router(loop, clock, settings, {callers, targets, state},
-                     connections, store, charts);
+                     connections, store, drain);
   if (!router.Listen()) return kExitRefused;
   for (int it : {SIGTERM, SIGINT}) {
     loop.OnSignal(it, [&] { router.Drain(); });
@@ -56,7 +56,8 @@
   auto flags = std::make_shared<RelayFlags>();
   AddRelayFlags(*command, *flags);
   command->callback([flags, &exit_code] {
-    exit_code = RunProcess<RelaySettings>(*flags, CheckRelaySettings, Serve);
+    exit_code = RunProcess<RelaySettings>(*flags, CheckRelaySettings,
+                                          BindDrainChart, Serve);
   });
 }
 
--- a/cli/router_command.cc
+++ b/cli/router_command.cc
@@ -43,7 +43,8 @@
   auto flags = std::make_shared<RouterFlags>();
   AddRouterFlags(*command, *flags);
   command->callback([flags, &exit_code] {
-    exit_code = RunProcess<RouterSettings>(*flags, CheckSettings, Serve);
+    exit_code = RunProcess<RouterSettings>(*flags, CheckSettings,
+                                           BindRouterCharts, Serve);
   });
 }
 
--- a/cli/run_process.h
+++ b/cli/run_process.h
@@ -10,16 +10,17 @@
 #include <vector>
 
 #include "base/log.h"
+#include "chart/chart.h"
 #include "cli/exit_codes.h"
 #include "net/setting_check.h"
-#include "router/charts.h"
 
 namespace quaytrack {
 
-// `check(flags, settings)` fills the settings or returns their faults;
-// `serve(settings, charts)` returns the exit code.
-template <class Settings, class Flags, class Check, class Serve>
-int RunProcess(const Flags& flags, Check check, Serve serve) {
+// `check(flags, settings)` fills the settings or returns their faults; `bind()`
+// returns the program's charts, or which of them is wrong; `serve(settings,
+// charts)` returns the exit code.
+template <class Settings, class Flags, class Check, class Bind, class Serve>
+int RunProcess(const Flags& flags, Check check, Bind bind, Serve serve) {
   namespace leaf = boost::leaf;
   Settings settings;
   const std::vector<SettingFault> faults = check(flags, settings);
@@ -34,7 +35,7 @@
   SetUpLog(settings.log_format, settings.log_level);
   return leaf::try_handle_all(
       [&]() -> leaf::result<int> {
-        BOOST_LEAF_AUTO(charts, BindRouterCharts());
+        BOOST_LEAF_AUTO(charts, bind());
         return serve(settings, charts);
       },
       [](const ChartError& it) {
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -76,7 +76,7 @@
                          const RelaySettings& settings,
                          const RelayInterface& interface,
                          TargetConnections& connections, KvStore& store,
-                         const RouterCharts& charts)
+                         const DrainChart& drain)
     : loop_(loop),
       clock_(clock),
       settings_(settings),
@@ -106,7 +106,7 @@
       caller_server_(loop, clock),
       admin_server_(loop, clock),
       metrics_server_(loop, clock),
-      drain_(charts.drain),
+      drain_(drain),
       link_({settings.link_mbps * kBytesPerMegabit}) {
   fleet_.OnChanged([this] { OnFleetChanged(); });
   budgets_.SetHandlers(BudgetHandlers());
--- a/relay/relay_router.h
+++ b/relay/relay_router.h
@@ -8,6 +8,7 @@
 #include <string>
 
 #include "base/clock.h"
+#include "chart/drain_chart.h"
 #include "dispatch/link_watch.h"
 #include "http/caller_connection.h"
 #include "http/target_connection.h"
@@ -19,7 +20,6 @@
 #include "relay/relay_context.h"
 #include "relay/relay_metrics.h"
 #include "relay/relay_settings.h"
-#include "router/charts.h"
 
 namespace quaytrack {
 
@@ -34,7 +34,7 @@
  public:
   RelayRouter(Loop& loop, const Clock& clock, const RelaySettings& settings,
               const RelayInterface& interface, TargetConnections& connections,
-              KvStore& store, const RouterCharts& charts);
+              KvStore& store, const DrainChart& drain);
 
   // Binds the addresses; false, with a line in the log, if one is taken.
   bool Listen();
--- a/router/charts.h
+++ b/router/charts.h
@@ -1,10 +1,11 @@
-// The router's state charts, bound to their enums.
+// The state charts of `quaytrack router`, bound to their enums.
 
 #ifndef QUAYTRACK_ROUTER_CHARTS_H_
 #define QUAYTRACK_ROUTER_CHARTS_H_
 
 #include "base/enum_table.h"
 #include "chart/chart.h"
+#include "chart/drain_chart.h"
 #include "chart/embedded.h"
 #include "claim/claim_chart.h"
 
@@ -50,29 +51,6 @@
   kFinish,
 };
 
-// A planned stop: chart/charts/drain.json.
-enum class DrainState {
-  kServing,
-  kUnready,
-  kFinishing,
-  kReturning,
-  kStopped,
-};
-enum class DrainEvent {
-  kStopAsked,
-  kBalancerNoticed,
-  kRequestsEnded,
-  kLedgerReturned,
-  kTimeUp,
-};
-enum class DrainAction {
-  kNone,
-  kReportUnready,
-  kStopListening,
-  kReturnGrants,
-  kExit,
-};
-
 template <>
 struct EnumTable<ForwardState> {
   static constexpr auto kEntries = std::to_array<EnumEntry<ForwardState>>(
@@ -120,38 +98,7 @@
        {ForwardAction::kFinish, "finish"}});
 };
 
-template <>
-struct EnumTable<DrainState> {
-  static constexpr auto kEntries = std::to_array<EnumEntry<DrainState>>(
-      {{DrainState::kServing, "serving"},
-       {DrainState::kUnready, "unready"},
-       {DrainState::kFinishing, "finishing"},
-       {DrainState::kReturning, "returning"},
-       {DrainState::kStopped, "stopped"}});
-};
-
-template <>
-struct EnumTable<DrainEvent> {
-  static constexpr auto kEntries = std::to_array<EnumEntry<DrainEvent>>(
-      {{DrainEvent::kStopAsked, "stop_asked"},
-       {DrainEvent::kBalancerNoticed, "balancer_noticed"},
-       {DrainEvent::kRequestsEnded, "requests_ended"},
-       {DrainEvent::kLedgerReturned, "ledger_returned"},
-       {DrainEvent::kTimeUp, "time_up"}});
-};
-
-template <>
-struct EnumTable<DrainAction> {
-  static constexpr auto kEntries = std::to_array<EnumEntry<DrainAction>>(
-      {{DrainAction::kNone, "none"},
-       {DrainAction::kReportUnready, "report_unready"},
-       {DrainAction::kStopListening, "stop_listening"},
-       {DrainAction::kReturnGrants, "return_grants"},
-       {DrainAction::kExit, "exit"}});
-};
-
 using ForwardChart = Chart<ForwardState, ForwardEvent, ForwardAction>;
-using DrainChart = Chart<DrainState, DrainEvent, DrainAction>;
 
 // All charts of the router; bound once, at start.
 struct RouterCharts {
@@ -165,8 +112,7 @@
       forward,
       (BindChart<ForwardState, ForwardEvent, ForwardAction>(kForwardChart)));
   BOOST_LEAF_AUTO(claim, BindClaimChart());
-  BOOST_LEAF_AUTO(
-      drain, (BindChart<DrainState, DrainEvent, DrainAction>(kDrainChart)));
+  BOOST_LEAF_AUTO(drain, BindDrainChart());
   return RouterCharts{std::move(forward), std::move(claim), std::move(drain)};
 }
 
