--- a/cli/budget_commands.cc
+++ b/cli/budget_commands.cc
@@ -33,10 +33,10 @@
 
 // All budgets, or none if the service can't be reached.
 std::optional<std::map<BudgetName, BudgetEntry>> ReadBudgets(KvSession& kv) {
-  const KvTxnReply reply = kv.Get(keys::kLedgerPrefix, true);
-  if (reply.end != KvEnd::kOk) return std::nullopt;
+  const EtcdTxnReply reply = kv.Get(keys::kLedgerPrefix, true);
+  if (reply.end != EtcdEnd::kOk) return std::nullopt;
   std::map<BudgetName, BudgetEntry> out;
-  for (const KvItem& it : reply.found[0]) {
+  for (const EtcdItem& it : reply.found[0]) {
     const auto record = DecodeRecord(it.value);
     if (!record) continue;
     out.insert(record->budgets.begin(), record->budgets.end());
@@ -45,10 +45,10 @@
 }
 
 std::optional<std::vector<Bill>> ReadBills(KvSession& kv) {
-  const KvTxnReply reply = kv.Get(keys::kJournalPrefix, true);
-  if (reply.end != KvEnd::kOk) return std::nullopt;
+  const EtcdTxnReply reply = kv.Get(keys::kJournalPrefix, true);
+  if (reply.end != EtcdEnd::kOk) return std::nullopt;
   std::vector<Bill> out;
-  for (const KvItem& it : reply.found[0]) {
+  for (const EtcdItem& it : reply.found[0]) {
     const auto batch = DecodeBatch(it.value);
     if (!batch) continue;
     out.insert(out.end(), batch->bills.begin(), batch->bills.end());
@@ -99,8 +99,8 @@
   const std::string key = keys::Ledger(ShardOf(name));
   const std::string operation = RandomHex(kOperationIdBytes);
   for (int n = 0; n < kTries; ++n) {
-    const KvTxnReply read = kv.Get(key);
-    if (read.end != KvEnd::kOk) continue;
+    const EtcdTxnReply read = kv.Get(key);
+    if (read.end != EtcdEnd::kOk) continue;
     auto record = read.found[0].empty() ? std::nullopt
                                         : DecodeRecord(read.found[0][0].value);
     if (!record || !record->budgets.contains(name)) {
@@ -112,13 +112,13 @@
     if (entry.last_topup != operation) {
       entry.added += flags.tokens;
       entry.last_topup = operation;
-      KvTxn txn;
+      EtcdTxn txn;
       txn.compares.push_back(
-          KvCompare::Revision(key, read.found[0][0].mod_revision));
+          EtcdCompare::Revision(key, read.found[0][0].mod_revision));
       txn.puts.push_back({key, EncodeRecord(*record), 0});
       txn.puts.push_back({keys::Need(ShardOf(name)), "budget add", 0});
-      const KvTxnReply reply = kv.Txn(txn);
-      if (reply.end != KvEnd::kOk || !reply.succeeded) continue;
+      const EtcdTxnReply reply = kv.Txn(txn);
+      if (reply.end != EtcdEnd::kOk || !reply.succeeded) continue;
     }
     std::printf("budget %s now has a limit of %lld\n", flags.budget.c_str(),
                 static_cast<long long>(entry.Limit()));
@@ -131,15 +131,15 @@
 // Re-adds the ledger from the bills and names every difference.
 int Audit(const CommonFlags& common) {
   KvSession kv(common.kv);
-  KvTxn txn;
+  EtcdTxn txn;
   txn.gets.push_back({keys::kLedgerPrefix, true});
   txn.gets.push_back({keys::kJournalPrefix, true});
-  const KvTxnReply reply = kv.Txn(txn);
-  if (reply.end != KvEnd::kOk) return Unreachable();
+  const EtcdTxnReply reply = kv.Txn(txn);
+  if (reply.end != EtcdEnd::kOk) return Unreachable();
   std::map<BudgetName, Tokens> billed;
   std::set<std::string> ids;
   int differences = 0;
-  for (const KvItem& it : reply.found[1]) {
+  for (const EtcdItem& it : reply.found[1]) {
     const auto batch = DecodeBatch(it.value);
     if (!batch) {
       std::printf("unreadable journal %s\n", it.key.c_str());
@@ -153,7 +153,7 @@
       ++differences;
     }
   }
-  for (const KvItem& it : reply.found[0]) {
+  for (const EtcdItem& it : reply.found[0]) {
     const auto record = DecodeRecord(it.value);
     if (!record) continue;
     for (const auto& [name, entry] : record->budgets) {
--- a/cli/bundle_commands.cc
+++ b/cli/bundle_commands.cc
@@ -124,7 +124,7 @@
   return out;
 }
 
-std::optional<BundleHead> HeadIn(const KvTxnReply& reply) {
+std::optional<BundleHead> HeadIn(const EtcdTxnReply& reply) {
   if (reply.found.empty() || reply.found[0].empty()) return std::nullopt;
   return DecodeHead(reply.found[0][0].value);
 }
@@ -132,8 +132,8 @@
 std::string TextOf(KvSession& kv, const BundleHead& head) {
   std::string out;
   for (const std::string& it : head.chunks) {
-    const KvTxnReply reply = kv.Get(keys::BundleChunk(it));
-    if (reply.end == KvEnd::kOk && !reply.found[0].empty()) {
+    const EtcdTxnReply reply = kv.Get(keys::BundleChunk(it));
+    if (reply.end == EtcdEnd::kOk && !reply.found[0].empty()) {
       out += reply.found[0][0].value;
     }
   }
@@ -152,10 +152,11 @@
   return kExitLostRace;
 }
 
-KvTxn ApplyTxn(const BundleHead& head, const std::string& text,
-               std::int64_t head_revision) {
-  KvTxn out;
-  out.compares.push_back(KvCompare::Revision(keys::kBundleHead, head_revision));
+EtcdTxn ApplyTxn(const BundleHead& head, const std::string& text,
+                 std::int64_t head_revision) {
+  EtcdTxn out;
+  out.compares.push_back(
+      EtcdCompare::Revision(keys::kBundleHead, head_revision));
   out.puts.push_back({keys::kBundleHead, EncodeHead(head), 0});
   const auto chunks = CutIntoChunks(text);
   for (std::size_t n = 0; n < chunks.size(); ++n) {
@@ -187,8 +188,8 @@
   head.applied_by = flags.operator_name;
 
   KvSession kv(common.kv);
-  const KvTxnReply before = kv.Get(keys::kBundleHead);
-  if (before.end != KvEnd::kOk) {
+  const EtcdTxnReply before = kv.Get(keys::kBundleHead);
+  if (before.end != EtcdEnd::kOk) {
     std::fprintf(stderr, "the key-value service can't be reached\n");
     return kExitUnreachable;
   }
@@ -204,8 +205,8 @@
     return ReportLoss(kv, *current, text);
   }
   const std::int64_t revision = current ? before.found[0][0].mod_revision : 0;
-  const KvTxnReply reply = kv.Txn(ApplyTxn(head, text, revision));
-  if (reply.end != KvEnd::kOk) {
+  const EtcdTxnReply reply = kv.Txn(ApplyTxn(head, text, revision));
+  if (reply.end != EtcdEnd::kOk) {
     std::fprintf(stderr, "no answer; run the command again to find out\n");
     return kExitUnknown;
   }
@@ -220,8 +221,8 @@
 
 int Show(const CommonFlags& common) {
   KvSession kv(common.kv);
-  const KvTxnReply reply = kv.Get(keys::kBundleHead);
-  if (reply.end != KvEnd::kOk) return kExitUnreachable;
+  const EtcdTxnReply reply = kv.Get(keys::kBundleHead);
+  if (reply.end != EtcdEnd::kOk) return kExitUnreachable;
   const auto head = HeadIn(reply);
   if (!head) {
     std::fprintf(stderr, "there is no bundle yet\n");
@@ -243,15 +244,15 @@
 
 int Status(const CommonFlags& common) {
   KvSession kv(common.kv);
-  KvTxn txn;
+  EtcdTxn txn;
   txn.gets.push_back({keys::kBundleHead});
   txn.gets.push_back({keys::kRouterPrefix, true});
-  const KvTxnReply reply = kv.Txn(txn);
-  if (reply.end != KvEnd::kOk) return kExitUnreachable;
+  const EtcdTxnReply reply = kv.Txn(txn);
+  if (reply.end != EtcdEnd::kOk) return kExitUnreachable;
   const auto head = HeadIn(reply);
   const std::uint64_t version = head ? head->version : 0;
   std::printf("accepted %llu\n", static_cast<unsigned long long>(version));
-  for (const KvItem& it : reply.found[1]) {
+  for (const EtcdItem& it : reply.found[1]) {
     const auto router = DecodeRouter(it.value);
     if (!router) continue;
     std::printf("%s %s %llu%s\n", router->incarnation.value.c_str(),
--- a/cli/kv_session.h
+++ b/cli/kv_session.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "etcd/kv.h"
+#include "etcd/etcd_client.h"
 #include "evhttp/http_client.h"
 #include "net/loop.h"
 
@@ -17,9 +17,9 @@
   explicit KvSession(std::vector<std::string> endpoints)
       : http_(loop_), kv_(loop_, http_, {std::move(endpoints)}) {}
 
-  KvTxnReply Txn(const KvTxn& txn) {
-    KvTxnReply out;
-    kv_.Txn(txn, [&](const KvTxnReply& it) {
+  EtcdTxnReply Txn(const EtcdTxn& txn) {
+    EtcdTxnReply out;
+    kv_.Txn(txn, [&](const EtcdTxnReply& it) {
       out = it;
       loop_.Stop();
     });
@@ -27,8 +27,8 @@
     return out;
   }
 
-  KvTxnReply Get(const std::string& key, bool prefix = false) {
-    KvTxn txn;
+  EtcdTxnReply Get(const std::string& key, bool prefix = false) {
+    EtcdTxn txn;
     txn.gets.push_back({key, prefix});
     return Txn(txn);
   }
@@ -36,7 +36,7 @@
  private:
   Loop loop_;
   HttpClient http_;
-  KvClient kv_;
+  EtcdClient kv_;
 };
 
 }  // namespace quaytrack
--- a/etcd/kv.cc
+++ b/etcd/etcd_client.cc
@@ -1,11 +1,11 @@
-#include "etcd/kv.h"
+#include "etcd/etcd_client.h"
 
 #include <event2/buffer.h>
 
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "etcd/kv_json.h"
+#include "etcd/etcd_json.h"
 
 namespace quaytrack {
 namespace {
@@ -15,24 +15,24 @@
 // A watch that has nothing to report is silent; it must not time out.
 constexpr Duration kWatchIdle = std::chrono::hours(1);
 
-KvEnd EndOf(const HttpResult& result) {
+EtcdEnd EndOf(const HttpResult& result) {
   switch (result.end) {
     case HttpEnd::kComplete:
       // 5xx may come from a proxy in front of a write that took effect.
-      if (result.status == 200) return KvEnd::kOk;
-      return result.status >= 500 ? KvEnd::kUnknown : KvEnd::kRefused;
+      if (result.status == 200) return EtcdEnd::kOk;
+      return result.status >= 500 ? EtcdEnd::kUnknown : EtcdEnd::kRefused;
     case HttpEnd::kNotSent:
-      return KvEnd::kRefused;
+      return EtcdEnd::kRefused;
     case HttpEnd::kBroken:
     case HttpEnd::kTimedOut:
-      return KvEnd::kUnknown;
+      return EtcdEnd::kUnknown;
   }
-  return KvEnd::kUnknown;
+  return EtcdEnd::kUnknown;
 }
 
 }  // namespace
 
-struct KvClient::Watch::State {
+struct EtcdClient::Watch::State {
   WatchHandlers handlers;
   std::shared_ptr<HttpCall> call;
   std::string partial;
@@ -54,21 +54,21 @@
   }
 };
 
-KvClient::Watch::~Watch() {
+EtcdClient::Watch::~Watch() {
   if (!state_) return;
   state_->stopped = true;
   if (state_->call) state_->call->Cancel();
 }
 
-KvClient::KvClient(Loop& loop, HttpClient& http, Options options)
+EtcdClient::EtcdClient(Loop& loop, HttpClient& http, Options options)
     : loop_(loop), http_(http), options_(std::move(options)) {}
 
-const std::string& KvClient::Endpoint() const {
+const std::string& EtcdClient::Endpoint() const {
   return options_.endpoints[endpoint_ % options_.endpoints.size()];
 }
 
-void KvClient::Post(const std::string& path, std::string body,
-                    ReplyHandler handler) {
+void EtcdClient::Post(const std::string& path, std::string body,
+                      ReplyHandler handler) {
   ++calls_;
   HttpRequest request;
   request.address = Endpoint();
@@ -79,7 +79,7 @@
   request.idle_timeout = options_.timeout;
   HttpCall::Handlers on;
   on.end = [this, handler = std::move(handler)](const HttpResult& result) {
-    const KvEnd end = EndOf(result);
+    const EtcdEnd end = EndOf(result);
     const bool dead = result.end != HttpEnd::kComplete;
     if (dead) ++endpoint_;
     handler(end, result.body);
@@ -87,57 +87,56 @@
   http_.Start(std::move(request), std::move(on));
 }
 
-void KvClient::Txn(const KvTxn& txn, TxnHandler handler) {
+void EtcdClient::Txn(const EtcdTxn& txn, TxnHandler handler) {
   Post("/v3/kv/txn", TxnToJson(txn),
-       [handler = std::move(handler)](KvEnd end, const std::string& body) {
-         KvTxnReply out;
-         if (end == KvEnd::kOk) {
+       [handler = std::move(handler)](EtcdEnd end, const std::string& body) {
+         EtcdTxnReply out;
+         if (end == EtcdEnd::kOk) {
            auto parsed = TxnReplyFromJson(body);
            if (parsed) out = std::move(*parsed);
-           end = parsed ? KvEnd::kOk : KvEnd::kUnknown;
+           end = parsed ? EtcdEnd::kOk : EtcdEnd::kUnknown;
          }
          out.end = end;
          handler(out);
        });
 }
 
-void KvClient::LeaseCall(const std::string& path, std::string body,
-                         LeaseHandler handler) {
+void EtcdClient::LeaseCall(const std::string& path, std::string body,
+                           LeaseHandler handler) {
   Post(path, std::move(body),
-       [handler = std::move(handler)](KvEnd end, const std::string& text) {
-         KvLeaseReply out;
-         if (end == KvEnd::kOk) {
+       [handler = std::move(handler)](EtcdEnd end, const std::string& text) {
+         EtcdLeaseReply out;
+         if (end == EtcdEnd::kOk) {
            auto parsed = LeaseReplyFromJson(text);
            if (parsed) out = *parsed;
-           end = parsed ? KvEnd::kOk : KvEnd::kUnknown;
+           end = parsed ? EtcdEnd::kOk : EtcdEnd::kUnknown;
          }
          out.end = end;
          handler(out);
        });
 }
 
-void KvClient::GrantLease(std::int64_t ttl_seconds, LeaseHandler handler) {
+void EtcdClient::GrantLease(std::int64_t ttl_seconds, LeaseHandler handler) {
   LeaseCall("/v3/lease/grant",
             Json{{"TTL", std::to_string(ttl_seconds)}}.dump(),
             std::move(handler));
 }
 
-void KvClient::KeepAlive(std::int64_t lease, LeaseHandler handler) {
+void EtcdClient::KeepAlive(std::int64_t lease, LeaseHandler handler) {
   LeaseCall("/v3/lease/keepalive", Json{{"ID", std::to_string(lease)}}.dump(),
             std::move(handler));
 }
 
-void KvClient::RevokeLease(std::int64_t lease,
-                           std::function<void(KvEnd)> handler) {
+void EtcdClient::RevokeLease(std::int64_t lease,
+                             std::function<void(EtcdEnd)> handler) {
   Post("/v3/lease/revoke", Json{{"ID", std::to_string(lease)}}.dump(),
-       [handler = std::move(handler)](KvEnd end, const std::string&) {
+       [handler = std::move(handler)](EtcdEnd end, const std::string&) {
          handler(end);
        });
 }
 
-std::unique_ptr<KvClient::Watch> KvClient::StartWatch(const std::string& prefix,
-                                                      std::int64_t revision,
-                                                      WatchHandlers handlers) {
+std::unique_ptr<EtcdClient::Watch> EtcdClient::StartWatch(
+    const std::string& prefix, std::int64_t revision, WatchHandlers handlers) {
   ++calls_;
   auto state = std::make_shared<Watch::State>();
   state->handlers = std::move(handlers);
--- a/etcd/kv.h
+++ b/etcd/etcd_client.h
@@ -7,13 +7,13 @@
 //   kRefused  answered with an error, or certainly not sent: nothing happened;
 //   kUnknown  sent, and no answer came: it may have happened, or may still.
 //
-//   KvTxn txn;
-//   txn.compares.push_back(KvCompare::Revision("k", 0));   // must not exist
+//   EtcdTxn txn;
+//   txn.compares.push_back(EtcdCompare::Revision("k", 0));   // must not exist
 //   txn.puts.push_back({"k", "v", 0});
-//   kv.Txn(txn, [](const KvTxnReply& it) {...});
+//   kv.Txn(txn, [](const EtcdTxnReply& it) {...});
 
-#ifndef QUAYTRACK_ETCD_KV_H_
-#define QUAYTRACK_ETCD_KV_H_
+#ifndef QUAYTRACK_ETCD_ETCD_CLIENT_H_
+#define QUAYTRACK_ETCD_ETCD_CLIENT_H_
 
 #include <cstdint>
 #include <functional>
@@ -26,9 +26,9 @@
 
 namespace quaytrack {
 
-enum class KvEnd { kOk, kRefused, kUnknown };
+enum class EtcdEnd { kOk, kRefused, kUnknown };
 
-struct KvItem {
+struct EtcdItem {
   std::string key;
   std::string value;
   std::int64_t create_revision = 0;
@@ -36,16 +36,16 @@
 };
 
 // Comparison of a key's last-change revision; 0 means that it doesn't exist.
-struct KvCompare {
+struct EtcdCompare {
   std::string key;
   std::int64_t mod_revision = 0;
 
-  static KvCompare Revision(std::string key, std::int64_t revision) {
+  static EtcdCompare Revision(std::string key, std::int64_t revision) {
     return {std::move(key), revision};
   }
 };
 
-struct KvPut {
+struct EtcdPut {
   std::string key;
   std::string value;
   std::int64_t lease = 0;
@@ -53,51 +53,51 @@
 
 // A key; all keys that start with it; or, with `end`, all keys from it up to
 // but without `end`.
-struct KvGet {
+struct EtcdGet {
   std::string key;
   bool prefix = false;
   std::int64_t limit = 0;
   std::string end;
 };
 
-struct KvTxn {
-  std::vector<KvCompare> compares;
+struct EtcdTxn {
+  std::vector<EtcdCompare> compares;
   // Done if all comparisons hold.
-  std::vector<KvPut> puts;
+  std::vector<EtcdPut> puts;
   std::vector<std::string> deletes;
-  std::vector<KvGet> gets;
+  std::vector<EtcdGet> gets;
   // Done if one doesn't.
-  std::vector<KvGet> else_gets;
+  std::vector<EtcdGet> else_gets;
 };
 
-struct KvTxnReply {
-  KvEnd end = KvEnd::kUnknown;
+struct EtcdTxnReply {
+  EtcdEnd end = EtcdEnd::kUnknown;
   bool succeeded = false;
   std::int64_t revision = 0;
   // What each of `gets` (or `else_gets`) found.
-  std::vector<std::vector<KvItem>> found;
+  std::vector<std::vector<EtcdItem>> found;
 };
 
-struct KvLeaseReply {
-  KvEnd end = KvEnd::kUnknown;
+struct EtcdLeaseReply {
+  EtcdEnd end = EtcdEnd::kUnknown;
   std::int64_t lease = 0;
   // Seconds left; 0 when the lease has lapsed.
   std::int64_t ttl = 0;
 };
 
-struct KvWatchEvent {
-  KvItem item;
+struct EtcdWatchEvent {
+  EtcdItem item;
   bool deleted = false;
 };
 
-class KvClient {
+class EtcdClient {
  public:
   struct Options {
     std::vector<std::string> endpoints;
     Duration timeout = std::chrono::milliseconds(1000);
   };
-  using TxnHandler = std::function<void(const KvTxnReply&)>;
-  using LeaseHandler = std::function<void(const KvLeaseReply&)>;
+  using TxnHandler = std::function<void(const EtcdTxnReply&)>;
+  using LeaseHandler = std::function<void(const EtcdLeaseReply&)>;
 
   // A running watch; ends when destroyed.
   class Watch {
@@ -105,24 +105,24 @@
     ~Watch();
 
    private:
-    friend class KvClient;
+    friend class EtcdClient;
     struct State;
     std::shared_ptr<State> state_;
   };
   struct WatchHandlers {
     std::function<void(std::int64_t revision,
-                       const std::vector<KvWatchEvent>& events)>
+                       const std::vector<EtcdWatchEvent>& events)>
         events;
     // The watch broke; whoever holds it reads again and starts a new one.
     std::function<void()> broken;
   };
 
-  KvClient(Loop& loop, HttpClient& http, Options options);
+  EtcdClient(Loop& loop, HttpClient& http, Options options);
 
-  void Txn(const KvTxn& txn, TxnHandler handler);
+  void Txn(const EtcdTxn& txn, TxnHandler handler);
   void GrantLease(std::int64_t ttl_seconds, LeaseHandler handler);
   void KeepAlive(std::int64_t lease, LeaseHandler handler);
-  void RevokeLease(std::int64_t lease, std::function<void(KvEnd)> handler);
+  void RevokeLease(std::int64_t lease, std::function<void(EtcdEnd)> handler);
   // Reports changes of keys that start with `prefix` after `revision`.
   std::unique_ptr<Watch> StartWatch(const std::string& prefix,
                                     std::int64_t revision,
@@ -132,7 +132,7 @@
   std::uint64_t calls() const { return calls_; }
 
  private:
-  using ReplyHandler = std::function<void(KvEnd, const std::string& body)>;
+  using ReplyHandler = std::function<void(EtcdEnd, const std::string& body)>;
   void Post(const std::string& path, std::string body, ReplyHandler handler);
   void LeaseCall(const std::string& path, std::string body,
                  LeaseHandler handler);
@@ -148,4 +148,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_ETCD_KV_H_
+#endif  // QUAYTRACK_ETCD_ETCD_CLIENT_H_
--- a/etcd/kv_json.cc
+++ b/etcd/etcd_json.cc
@@ -1,4 +1,4 @@
-#include "etcd/kv_json.h"
+#include "etcd/etcd_json.h"
 
 #include <nlohmann/json.hpp>
 
@@ -22,8 +22,8 @@
   return Base64Decode(json.at(field).get<std::string>()).value_or("");
 }
 
-KvItem ItemFromJson(const Json& json) {
-  KvItem out;
+EtcdItem ItemFromJson(const Json& json) {
+  EtcdItem out;
   out.key = Bytes(json, "key");
   out.value = Bytes(json, "value");
   out.create_revision = Int64(json, "create_revision");
@@ -31,7 +31,7 @@
   return out;
 }
 
-Json GetToJson(const KvGet& it) {
+Json GetToJson(const EtcdGet& it) {
   Json range = {{"key", Base64Encode(it.key)}};
   if (it.prefix) range["range_end"] = Base64Encode(PrefixEnd(it.key));
   if (!it.end.empty()) range["range_end"] = Base64Encode(it.end);
@@ -39,7 +39,7 @@
   return Json{{"request_range", range}};
 }
 
-Json PutToJson(const KvPut& it) {
+Json PutToJson(const EtcdPut& it) {
   Json put = {{"key", Base64Encode(it.key)}, {"value", Base64Encode(it.value)}};
   if (it.lease != 0) put["lease"] = std::to_string(it.lease);
   return Json{{"request_put", put}};
@@ -70,29 +70,29 @@
   return std::string(1, '\0');
 }
 
-std::string TxnToJson(const KvTxn& txn) {
+std::string TxnToJson(const EtcdTxn& txn) {
   Json compare = Json::array();
-  for (const KvCompare& it : txn.compares) {
+  for (const EtcdCompare& it : txn.compares) {
     compare.push_back({{"key", Base64Encode(it.key)},
                        {"target", "MOD"},
                        {"result", "EQUAL"},
                        {"mod_revision", std::to_string(it.mod_revision)}});
   }
   Json success = Json::array();
-  for (const KvPut& it : txn.puts) success.push_back(PutToJson(it));
+  for (const EtcdPut& it : txn.puts) success.push_back(PutToJson(it));
   for (const std::string& it : txn.deletes) {
     success.push_back({{"request_delete_range", {{"key", Base64Encode(it)}}}});
   }
-  for (const KvGet& it : txn.gets) success.push_back(GetToJson(it));
+  for (const EtcdGet& it : txn.gets) success.push_back(GetToJson(it));
   Json failure = Json::array();
-  for (const KvGet& it : txn.else_gets) failure.push_back(GetToJson(it));
+  for (const EtcdGet& it : txn.else_gets) failure.push_back(GetToJson(it));
   return Json{{"compare", compare}, {"success", success}, {"failure", failure}}
       .dump();
 }
 
-std::optional<KvTxnReply> TxnReplyFromJson(std::string_view text) {
+std::optional<EtcdTxnReply> TxnReplyFromJson(std::string_view text) {
   return Parsed(text, [](const Json& json) {
-    KvTxnReply out;
+    EtcdTxnReply out;
     out.succeeded = json.value("succeeded", false);
     out.revision = Int64(json.at("header"), "revision");
     for (const Json& it : json.value("responses", Json::array())) {
@@ -107,10 +107,10 @@
   });
 }
 
-std::optional<KvLeaseReply> LeaseReplyFromJson(std::string_view text) {
+std::optional<EtcdLeaseReply> LeaseReplyFromJson(std::string_view text) {
   return Parsed(text, [](const Json& json) {
     const Json& it = json.contains("result") ? json.at("result") : json;
-    KvLeaseReply out;
+    EtcdLeaseReply out;
     out.lease = Int64(it, "ID");
     out.ttl = Int64(it, "TTL");
     return out;
@@ -125,14 +125,14 @@
   return Json{{"create_request", create}}.dump();
 }
 
-std::optional<KvWatchReply> WatchReplyFromJson(std::string_view line) {
+std::optional<EtcdWatchReply> WatchReplyFromJson(std::string_view line) {
   return Parsed(line, [](const Json& json) {
     const Json& result = json.at("result");
-    KvWatchReply out;
+    EtcdWatchReply out;
     out.revision = Int64(result.at("header"), "revision");
     out.cancelled = result.value("canceled", false);
     for (const Json& it : result.value("events", Json::array())) {
-      KvWatchEvent event;
+      EtcdWatchEvent event;
       event.deleted = it.value("type", "PUT") == "DELETE";
       event.item = ItemFromJson(it.at("kv"));
       out.events.push_back(event);
--- /dev/null
+++ b/etcd/etcd_json.h
@@ -0,0 +1,34 @@
+// The JSON of the etcd v3 gateway, as far as EtcdClient speaks it.
+
+#ifndef QUAYTRACK_ETCD_ETCD_JSON_H_
+#define QUAYTRACK_ETCD_ETCD_JSON_H_
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "etcd/etcd_client.h"
+
+namespace quaytrack {
+
+std::string TxnToJson(const EtcdTxn& txn);
+// Sets everything but `end`; empty when `text` isn't a reply.
+std::optional<EtcdTxnReply> TxnReplyFromJson(std::string_view text);
+std::optional<EtcdLeaseReply> LeaseReplyFromJson(std::string_view text);
+std::string WatchToJson(const std::string& prefix, std::int64_t after_revision);
+
+struct EtcdWatchReply {
+  std::int64_t revision = 0;
+  std::vector<EtcdWatchEvent> events;
+  bool cancelled = false;
+};
+std::optional<EtcdWatchReply> WatchReplyFromJson(std::string_view line);
+
+// The first key after all that start with `prefix`.
+std::string PrefixEnd(std::string prefix);
+
+}  // namespace quaytrack
+
+#endif  // QUAYTRACK_ETCD_ETCD_JSON_H_
--- a/etcd/retention_lease.cc
+++ b/etcd/retention_lease.cc
@@ -8,7 +8,7 @@
 
 }  // namespace
 
-RetentionLease::RetentionLease(Loop& loop, KvClient& kv, const Clock& clock,
+RetentionLease::RetentionLease(Loop& loop, EtcdClient& kv, const Clock& clock,
                                std::chrono::hours retention)
     : kv_(kv),
       clock_(clock),
@@ -22,9 +22,9 @@
   if (fresh || asking_) return;
   asking_ = true;
   const std::chrono::seconds ttl = retention_ + std::chrono::hours(1);
-  kv_.GrantLease(ttl.count(), [this](const KvLeaseReply& it) {
+  kv_.GrantLease(ttl.count(), [this](const EtcdLeaseReply& it) {
     asking_ = false;
-    if (it.end != KvEnd::kOk || it.lease == 0) return;
+    if (it.end != EtcdEnd::kOk || it.lease == 0) return;
     lease_ = it.lease;
     granted_ = clock_.Now();
   });
--- a/etcd/retention_lease.h
+++ b/etcd/retention_lease.h
@@ -11,14 +11,14 @@
 #include <memory>
 
 #include "base/clock.h"
-#include "etcd/kv.h"
+#include "etcd/etcd_client.h"
 #include "net/loop.h"
 
 namespace quaytrack {
 
 class RetentionLease {
  public:
-  RetentionLease(Loop& loop, KvClient& kv, const Clock& clock,
+  RetentionLease(Loop& loop, EtcdClient& kv, const Clock& clock,
                  std::chrono::hours retention);
 
   // The lease to attach; 0 (kept without end) until the first is granted.
@@ -27,7 +27,7 @@
  private:
   void Renew();
 
-  KvClient& kv_;
+  EtcdClient& kv_;
   const Clock& clock_;
   std::chrono::hours retention_;
   std::int64_t lease_ = 0;
--- a/kv/store.h
+++ b/kv/store.h
@@ -8,8 +8,9 @@
 //   kRefused   answered with an error, or certainly not sent: nothing happened;
 //   kUnknown   sent, and no answer came: it may have happened, or still may.
 //
-//   store.Range("op/", [](const KvSnapshot& it) {...});
-//   auto waiting = store.Wait("op/", it.revision, 10s, [](KvChanges it) {...});
+//   store.Range("op/", [](const StoreSnapshot& it) {...});
+//   auto waiting = store.Wait("op/", it.revision, 10s, [](StoreChanges it)
+//   {...});
 
 #ifndef QUAYTRACK_KV_STORE_H_
 #define QUAYTRACK_KV_STORE_H_
--- a/router/bundle_driver.cc
+++ b/router/bundle_driver.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-BundleDriver::BundleDriver(Loop& loop, KvClient& kv, OperatorKeys keys,
+BundleDriver::BundleDriver(Loop& loop, EtcdClient& kv, OperatorKeys keys,
                            std::function<void()> taken)
     : loop_(loop),
       kv_(kv),
@@ -23,19 +23,19 @@
 }
 
 void BundleDriver::ReadHead() {
-  KvTxn txn;
+  EtcdTxn txn;
   txn.gets.push_back({keys::kBundleHead});
-  kv_.Txn(txn, [this](const KvTxnReply& reply) {
-    if (reply.end != KvEnd::kOk) return;
+  kv_.Txn(txn, [this](const EtcdTxnReply& reply) {
+    if (reply.end != EtcdEnd::kOk) return;
     if (!watch_) StartWatch(reply.revision);
     if (!reply.found[0].empty()) OnHead(reply.found[0][0].value);
   });
 }
 
 void BundleDriver::StartWatch(std::int64_t revision) {
-  KvClient::WatchHandlers on;
-  on.events = [this](std::int64_t, const std::vector<KvWatchEvent>& events) {
-    for (const KvWatchEvent& it : events) {
+  EtcdClient::WatchHandlers on;
+  on.events = [this](std::int64_t, const std::vector<EtcdWatchEvent>& events) {
+    for (const EtcdWatchEvent& it : events) {
       if (!it.deleted) OnHead(it.item.value);
     }
   };
@@ -53,13 +53,13 @@
 
 void BundleDriver::Fetch(const BundleHead& head) {
   fetching_ = head.version;
-  KvTxn txn;
+  EtcdTxn txn;
   for (const std::string& it : head.chunks) {
     txn.gets.push_back({keys::BundleChunk(it)});
   }
-  kv_.Txn(txn, [this, head](const KvTxnReply& reply) {
+  kv_.Txn(txn, [this, head](const EtcdTxnReply& reply) {
     fetching_ = 0;
-    if (reply.end != KvEnd::kOk) return;
+    if (reply.end != EtcdEnd::kOk) return;
     std::string text;
     for (const auto& it : reply.found) {
       if (!it.empty()) text += it[0].value;
--- a/router/bundle_driver.h
+++ b/router/bundle_driver.h
@@ -10,7 +10,7 @@
 #include <memory>
 
 #include "bundle/keeper.h"
-#include "etcd/kv.h"
+#include "etcd/etcd_client.h"
 #include "net/loop.h"
 
 namespace quaytrack {
@@ -18,7 +18,7 @@
 class BundleDriver {
  public:
   // `taken` is called after each bundle that comes into force.
-  BundleDriver(Loop& loop, KvClient& kv, OperatorKeys keys,
+  BundleDriver(Loop& loop, EtcdClient& kv, OperatorKeys keys,
                std::function<void()> taken);
 
   const BundleKeeper& keeper() const { return keeper_; }
@@ -33,10 +33,10 @@
   void Fetch(const BundleHead& head);
 
   Loop& loop_;
-  KvClient& kv_;
+  EtcdClient& kv_;
   BundleKeeper keeper_;
   std::function<void()> taken_;
-  std::unique_ptr<KvClient::Watch> watch_;
+  std::unique_ptr<EtcdClient::Watch> watch_;
   std::unique_ptr<Timer> read_timer_;
   // Version being fetched, so that one is fetched once.
   std::uint64_t fetching_ = 0;
--- a/router/claim_driver.cc
+++ b/router/claim_driver.cc
@@ -10,7 +10,7 @@
 constexpr Duration kGroupDelay = std::chrono::milliseconds(3);
 constexpr Duration kTick = std::chrono::milliseconds(50);
 
-FoundClaim ToFound(const std::vector<KvItem>& items) {
+FoundClaim ToFound(const std::vector<EtcdItem>& items) {
   FoundClaim out;
   if (items.empty()) return out;
   out.exists = true;
@@ -22,12 +22,13 @@
   return out;
 }
 
-KvTxn ToTxn(const ClaimCommit& commit, std::int64_t lease) {
-  KvTxn out;
+EtcdTxn ToTxn(const ClaimCommit& commit, std::int64_t lease) {
+  EtcdTxn out;
   for (const ClaimWrite& it : commit.writes) {
     const std::string key = keys::Claim(it.key);
     const bool create = it.kind == ClaimWriteKind::kCreate;
-    out.compares.push_back(KvCompare::Revision(key, create ? 0 : it.revision));
+    out.compares.push_back(
+        EtcdCompare::Revision(key, create ? 0 : it.revision));
     out.else_gets.push_back({key});
     if (it.kind == ClaimWriteKind::kDelete) {
       out.deletes.push_back(key);
@@ -38,14 +39,14 @@
   return out;
 }
 
-ClaimOutcome OutcomeOf(const KvTxnReply& reply) {
-  if (reply.end != KvEnd::kOk) return ClaimOutcome::kUnknown;
+ClaimOutcome OutcomeOf(const EtcdTxnReply& reply) {
+  if (reply.end != EtcdEnd::kOk) return ClaimOutcome::kUnknown;
   return reply.succeeded ? ClaimOutcome::kApplied : ClaimOutcome::kRejected;
 }
 
 }  // namespace
 
-ClaimDriver::ClaimDriver(Loop& loop, KvClient& kv, const Clock& clock,
+ClaimDriver::ClaimDriver(Loop& loop, EtcdClient& kv, const Clock& clock,
                          const RetentionLease& retention,
                          const Incarnation& self, const ClaimChart& chart,
                          EventHandler handler)
@@ -71,7 +72,7 @@
 }
 
 void ClaimDriver::Perform(const ClaimCommit& commit) {
-  kv_.Txn(ToTxn(commit, retention_.lease()), [this](const KvTxnReply& reply) {
+  kv_.Txn(ToTxn(commit, retention_.lease()), [this](const EtcdTxnReply& reply) {
     std::vector<FoundClaim> found;
     for (const auto& it : reply.found) found.push_back(ToFound(it));
     book_.OnCommit(clock_.Now(), OutcomeOf(reply), reply.revision, found);
--- a/router/claim_driver.h
+++ b/router/claim_driver.h
@@ -8,7 +8,7 @@
 
 #include "base/clock.h"
 #include "claim/claim.h"
-#include "etcd/kv.h"
+#include "etcd/etcd_client.h"
 #include "etcd/retention_lease.h"
 #include "net/loop.h"
 
@@ -18,7 +18,7 @@
  public:
   using EventHandler = std::function<void(const ClaimEvent&)>;
 
-  ClaimDriver(Loop& loop, KvClient& kv, const Clock& clock,
+  ClaimDriver(Loop& loop, EtcdClient& kv, const Clock& clock,
               const RetentionLease& retention, const Incarnation& self,
               const ClaimChart& chart, EventHandler handler);
 
@@ -33,7 +33,7 @@
   void Perform(const ClaimCommit& commit);
 
   Loop& loop_;
-  KvClient& kv_;
+  EtcdClient& kv_;
   const Clock& clock_;
   const RetentionLease& retention_;
   ClaimBook book_;
--- a/router/ledger_codec.h
+++ b/router/ledger_codec.h
@@ -6,17 +6,17 @@
 #include <cstdint>
 #include <vector>
 
-#include "etcd/kv.h"
+#include "etcd/etcd_client.h"
 #include "ledger/sync.h"
 
 namespace quaytrack {
 
 // A record as found, or an empty one if its key doesn't exist.
-ShardState ShardFromKv(int shard, const std::vector<KvItem>& found);
+ShardState ShardFromKv(int shard, const std::vector<EtcdItem>& found);
 
 // The transaction that writes a commit whose batch belongs to `writer`.
-KvTxn TxnFor(const Incarnation& writer, const LedgerCommit& commit,
-             std::int64_t marker_lease);
+EtcdTxn TxnFor(const Incarnation& writer, const LedgerCommit& commit,
+               std::int64_t marker_lease);
 
 }  // namespace quaytrack
 
--- a/router/ledger_driver.cc
+++ b/router/ledger_driver.cc
@@ -14,15 +14,15 @@
 constexpr Duration kTick = std::chrono::milliseconds(25);
 constexpr Duration kWatchRetry = std::chrono::milliseconds(500);
 
-CommitOutcome OutcomeOf(const KvTxnReply& reply) {
-  if (reply.end == KvEnd::kUnknown) return CommitOutcome::kUnknown;
-  const bool applied = reply.end == KvEnd::kOk && reply.succeeded;
+CommitOutcome OutcomeOf(const EtcdTxnReply& reply) {
+  if (reply.end == EtcdEnd::kUnknown) return CommitOutcome::kUnknown;
+  const bool applied = reply.end == EtcdEnd::kOk && reply.succeeded;
   return applied ? CommitOutcome::kApplied : CommitOutcome::kRejected;
 }
 
 }  // namespace
 
-LedgerDriver::LedgerDriver(Loop& loop, KvClient& kv, const Clock& clock,
+LedgerDriver::LedgerDriver(Loop& loop, EtcdClient& kv, const Clock& clock,
                            const RetentionLease& retention, Incarnation self,
                            LedgerSyncOptions options, EventHandler handler)
     : loop_(loop),
@@ -59,14 +59,14 @@
 
 void LedgerDriver::Read(const ReadShards& read) {
   // One transaction without comparisons is one snapshot.
-  KvTxn txn;
+  EtcdTxn txn;
   for (int it : read.shards) txn.gets.push_back({keys::Ledger(it)});
   for (const std::string& it : read.markers) {
     txn.gets.push_back({keys::Billed(it)});
   }
-  kv_.Txn(txn, [this, read](const KvTxnReply& reply) {
+  kv_.Txn(txn, [this, read](const EtcdTxnReply& reply) {
     const Instant now = clock_.Now();
-    if (reply.end != KvEnd::kOk) {
+    if (reply.end != EtcdEnd::kOk) {
       sync_.OnRead(now, std::nullopt, {});
     } else {
       std::vector<ShardState> states;
@@ -88,8 +88,8 @@
 }
 
 void LedgerDriver::Commit(const LedgerCommit& commit) {
-  const KvTxn txn = TxnFor(self_, commit, retention_.lease());
-  kv_.Txn(txn, [this](const KvTxnReply& reply) {
+  const EtcdTxn txn = TxnFor(self_, commit, retention_.lease());
+  kv_.Txn(txn, [this](const EtcdTxnReply& reply) {
     revision_ = std::max(revision_, reply.revision);
     sync_.OnCommit(clock_.Now(), OutcomeOf(reply), reply.revision);
     ReportReachability();
@@ -105,9 +105,9 @@
 }
 
 void LedgerDriver::StartWatch() {
-  KvClient::WatchHandlers on;
+  EtcdClient::WatchHandlers on;
   on.events = [this](std::int64_t revision,
-                     const std::vector<KvWatchEvent>& events) {
+                     const std::vector<EtcdWatchEvent>& events) {
     revision_ = std::max(revision_, revision);
     OnWatchEvents(events);
   };
@@ -122,8 +122,8 @@
   watch_ = kv_.StartWatch(keys::kNeedPrefix, revision_, std::move(on));
 }
 
-void LedgerDriver::OnWatchEvents(const std::vector<KvWatchEvent>& events) {
-  for (const KvWatchEvent& it : events) {
+void LedgerDriver::OnWatchEvents(const std::vector<EtcdWatchEvent>& events) {
+  for (const EtcdWatchEvent& it : events) {
     const std::string_view name = it.item.key;
     int shard = 0;
     const std::string_view number = name.substr(keys::kNeedPrefix.size());
--- a/router/ledger_driver.h
+++ b/router/ledger_driver.h
@@ -7,7 +7,7 @@
 #include <memory>
 
 #include "base/clock.h"
-#include "etcd/kv.h"
+#include "etcd/etcd_client.h"
 #include "etcd/retention_lease.h"
 #include "ledger/sync.h"
 #include "net/loop.h"
@@ -18,7 +18,7 @@
  public:
   using EventHandler = std::function<void(const LedgerEvent&)>;
 
-  LedgerDriver(Loop& loop, KvClient& kv, const Clock& clock,
+  LedgerDriver(Loop& loop, EtcdClient& kv, const Clock& clock,
                const RetentionLease& retention, Incarnation self,
                LedgerSyncOptions options, EventHandler handler);
 
@@ -34,17 +34,17 @@
   void Read(const ReadShards& read);
   void Commit(const LedgerCommit& commit);
   void StartWatch();
-  void OnWatchEvents(const std::vector<KvWatchEvent>& events);
+  void OnWatchEvents(const std::vector<EtcdWatchEvent>& events);
   void ReportReachability();
 
   Loop& loop_;
-  KvClient& kv_;
+  EtcdClient& kv_;
   const Clock& clock_;
   const RetentionLease& retention_;
   Incarnation self_;
   LedgerSync sync_;
   EventHandler handler_;
-  std::unique_ptr<KvClient::Watch> watch_;
+  std::unique_ptr<EtcdClient::Watch> watch_;
   std::unique_ptr<Timer> timer_;
   std::unique_ptr<Timer> watch_retry_;
   bool kicked_ = false;
--- a/router/membership.cc
+++ b/router/membership.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-Membership::Membership(Loop& loop, KvClient& kv, HttpClient& http,
+Membership::Membership(Loop& loop, EtcdClient& kv, HttpClient& http,
                        const Clock& clock, Options options, Handlers handlers)
     : loop_(loop),
       kv_(kv),
@@ -40,18 +40,19 @@
   if (lease_call_open_ || leaving_) return;
   lease_call_open_ = true;
   if (lease_ == 0) {
-    kv_.GrantLease(options_.lease_ttl.count(), [this](const KvLeaseReply& it) {
-      lease_call_open_ = false;
-      if (it.end != KvEnd::kOk) return;
-      lease_ = it.lease;
-      Register();
-    });
+    kv_.GrantLease(options_.lease_ttl.count(),
+                   [this](const EtcdLeaseReply& it) {
+                     lease_call_open_ = false;
+                     if (it.end != EtcdEnd::kOk) return;
+                     lease_ = it.lease;
+                     Register();
+                   });
     return;
   }
-  kv_.KeepAlive(lease_, [this](const KvLeaseReply& it) {
+  kv_.KeepAlive(lease_, [this](const EtcdLeaseReply& it) {
     lease_call_open_ = false;
     // A lapsed lease took the registration with it.
-    const bool lapsed = it.end == KvEnd::kOk && it.ttl == 0;
+    const bool lapsed = it.end == EtcdEnd::kOk && it.ttl == 0;
     if (!lapsed) return;
     lease_ = 0;
     KeepLease();
@@ -59,11 +60,11 @@
 }
 
 void Membership::Register() {
-  KvTxn txn;
+  EtcdTxn txn;
   txn.puts.push_back({keys::Router(options_.self.incarnation),
                       EncodeRouter(options_.self), lease_});
-  kv_.Txn(txn, [this](const KvTxnReply& it) {
-    if (it.end != KvEnd::kOk || created_ != 0) return;
+  kv_.Txn(txn, [this](const EtcdTxnReply& it) {
+    if (it.end != EtcdEnd::kOk || created_ != 0) return;
     created_ = it.revision;
     LogEvent(Event::kRegistered,
              {{"incarnation", options_.self.incarnation.value}});
@@ -78,18 +79,18 @@
 
 void Membership::Leave() {
   leaving_ = true;
-  if (lease_ != 0) kv_.RevokeLease(lease_, [](KvEnd) {});
+  if (lease_ != 0) kv_.RevokeLease(lease_, [](EtcdEnd) {});
 }
 
 void Membership::ReadRegistry() {
   const Instant now = clock_.Now();
   if (watch_ && now - last_read_ < kReadWatchedRegistryEvery) return;
-  KvTxn txn;
+  EtcdTxn txn;
   txn.gets.push_back({keys::kRouterPrefix, true});
-  kv_.Txn(txn, [this](const KvTxnReply& reply) {
-    if (reply.end != KvEnd::kOk) return;
+  kv_.Txn(txn, [this](const EtcdTxnReply& reply) {
+    if (reply.end != EtcdEnd::kOk) return;
     std::vector<RouterEntry> entries;
-    for (const KvItem& it : reply.found[0]) {
+    for (const EtcdItem& it : reply.found[0]) {
       auto entry = DecodeRouter(it.value);
       if (!entry) continue;
       entry->created = it.create_revision;
@@ -103,9 +104,9 @@
 }
 
 void Membership::StartWatch(std::int64_t revision) {
-  KvClient::WatchHandlers on;
-  on.events = [this](std::int64_t, const std::vector<KvWatchEvent>& events) {
-    for (const KvWatchEvent& it : events) {
+  EtcdClient::WatchHandlers on;
+  on.events = [this](std::int64_t, const std::vector<EtcdWatchEvent>& events) {
+    for (const EtcdWatchEvent& it : events) {
       if (it.deleted) {
         registry_.Remove(
             Incarnation(it.item.key.substr(keys::kRouterPrefix.size())));
--- a/router/membership.h
+++ b/router/membership.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "base/clock.h"
-#include "etcd/kv.h"
+#include "etcd/etcd_client.h"
 #include "evhttp/http_client.h"
 #include "member/registry.h"
 #include "member/vm_tracker.h"
@@ -34,7 +34,7 @@
     std::function<void()> changed;
   };
 
-  Membership(Loop& loop, KvClient& kv, HttpClient& http, const Clock& clock,
+  Membership(Loop& loop, EtcdClient& kv, HttpClient& http, const Clock& clock,
              Options options, Handlers handlers);
 
   const RouterRegistry& registry() const { return registry_; }
@@ -58,7 +58,7 @@
   void OnVmList(const HttpResult& result);
 
   Loop& loop_;
-  KvClient& kv_;
+  EtcdClient& kv_;
   HttpClient& http_;
   const Clock& clock_;
   Options options_;
@@ -72,7 +72,7 @@
   bool vm_list_ok_ = true;
   bool leaving_ = false;
   Instant last_read_{};
-  std::unique_ptr<KvClient::Watch> watch_;
+  std::unique_ptr<EtcdClient::Watch> watch_;
   std::unique_ptr<Timer> lease_timer_;
   std::unique_ptr<Timer> read_timer_;
   std::unique_ptr<Timer> vm_timer_;
--- a/router/recovery_driver.cc
+++ b/router/recovery_driver.cc
@@ -4,8 +4,8 @@
 #include <utility>
 
 #include "base/log.h"
+#include "etcd/etcd_json.h"
 #include "etcd/keys.h"
-#include "etcd/kv_json.h"
 #include "router/ledger_codec.h"
 #include "router/sse_relay.h"
 
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-RecoveryDriver::RecoveryDriver(Loop& loop, KvClient& kv, HttpClient& http,
+RecoveryDriver::RecoveryDriver(Loop& loop, EtcdClient& kv, HttpClient& http,
                                const RetentionLease& retention,
                                LedgerDriver& ledger, Membership& members,
                                PeerDriver& peers, Incarnation self)
@@ -115,7 +115,7 @@
 
 void RecoveryDriver::ReadSnapshot(const JobPtr& job) {
   std::uint64_t last = 0;
-  KvTxn txn;
+  EtcdTxn txn;
   for (int shard = 0; shard < kLedgerShards; ++shard) {
     txn.gets.push_back({keys::Ledger(shard)});
     const ShardState* state = ledger_.sync().CachedShard(shard);
@@ -126,7 +126,7 @@
   }
   const std::uint64_t from =
       last > kJournalOverlap ? last - kJournalOverlap : 0;
-  KvGet journal{keys::Journal(job->input.dead, from)};
+  EtcdGet journal{keys::Journal(job->input.dead, from)};
   journal.end = PrefixEnd(keys::JournalOf(job->input.dead));
   txn.gets.push_back(journal);
   for (const auto& [request, it] : job->input.copy.bills) {
@@ -136,11 +136,11 @@
     txn.gets.push_back({keys::Billed(it.marker)});
   }
   kv_.Txn(txn,
-          [this, job](const KvTxnReply& reply) { OnSnapshot(job, reply); });
+          [this, job](const EtcdTxnReply& reply) { OnSnapshot(job, reply); });
 }
 
-void RecoveryDriver::OnSnapshot(const JobPtr& job, const KvTxnReply& reply) {
-  if (reply.end != KvEnd::kOk) return Finish(job, false);
+void RecoveryDriver::OnSnapshot(const JobPtr& job, const EtcdTxnReply& reply) {
+  if (reply.end != EtcdEnd::kOk) return Finish(job, false);
   RecoveryInput& input = job->input;
   input.shards.clear();
   for (int shard = 0; shard < kLedgerShards; ++shard) {
@@ -148,7 +148,7 @@
     input.shards.push_back(ShardFromKv(shard, found));
   }
   input.journal.clear();
-  for (const KvItem& it : reply.found[kLedgerShards]) {
+  for (const EtcdItem& it : reply.found[kLedgerShards]) {
     if (auto batch = DecodeBatch(it.value)) input.journal.push_back(*batch);
   }
   input.existing_markers.clear();
@@ -167,9 +167,9 @@
 }
 
 void RecoveryDriver::Write(const JobPtr& job, const LedgerCommit& commit) {
-  const KvTxn txn = TxnFor(job->input.dead, commit, retention_.lease());
-  kv_.Txn(txn, [this, job, commit](const KvTxnReply& reply) {
-    const bool done = reply.end == KvEnd::kOk && reply.succeeded;
+  const EtcdTxn txn = TxnFor(job->input.dead, commit, retention_.lease());
+  kv_.Txn(txn, [this, job, commit](const EtcdTxnReply& reply) {
+    const bool done = reply.end == EtcdEnd::kOk && reply.succeeded;
     if (done) {
       LogEvent(Event::kRouterRecovered,
                {{"incarnation", job->input.dead.value},
--- a/router/recovery_driver.h
+++ b/router/recovery_driver.h
@@ -13,7 +13,7 @@
 #include <memory>
 #include <vector>
 
-#include "etcd/kv.h"
+#include "etcd/etcd_client.h"
 #include "evhttp/http_client.h"
 #include "ledger/recovery.h"
 #include "net/loop.h"
@@ -25,7 +25,7 @@
 
 class RecoveryDriver {
  public:
-  RecoveryDriver(Loop& loop, KvClient& kv, HttpClient& http,
+  RecoveryDriver(Loop& loop, EtcdClient& kv, HttpClient& http,
                  const RetentionLease& retention, LedgerDriver& ledger,
                  Membership& members, PeerDriver& peers, Incarnation self);
 
@@ -48,12 +48,12 @@
   void OnTargetAnswer(const JobPtr& job, const Intent& intent,
                       const HttpResult& result);
   void ReadSnapshot(const JobPtr& job);
-  void OnSnapshot(const JobPtr& job, const KvTxnReply& reply);
+  void OnSnapshot(const JobPtr& job, const EtcdTxnReply& reply);
   void Write(const JobPtr& job, const LedgerCommit& commit);
   void Finish(const JobPtr& job, bool done);
 
   Loop& loop_;
-  KvClient& kv_;
+  EtcdClient& kv_;
   HttpClient& http_;
   const RetentionLease& retention_;
   LedgerDriver& ledger_;
--- a/router/router.h
+++ b/router/router.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "base/clock.h"
-#include "etcd/kv.h"
+#include "etcd/etcd_client.h"
 #include "etcd/retention_lease.h"
 #include "evhttp/http_client.h"
 #include "evhttp/http_server.h"
@@ -70,7 +70,7 @@
   RouterSettings settings_;
   Incarnation self_;
   HttpClient http_;
-  KvClient kv_;
+  EtcdClient kv_;
   RetentionLease retention_;
   Metrics metrics_;
   TargetBook targets_;
--- a/testing/kv_standin.cc
+++ b/testing/kv_standin.cc
@@ -82,7 +82,7 @@
                         : std::stoll(it.get<std::string>());
 }
 
-Json KvJson(const std::string& key, const Value& value) {
+Json EtcdJson(const std::string& key, const Value& value) {
   return {{"key", Base64Encode(key)},
           {"value", Base64Encode(value.bytes)},
           {"create_revision", std::to_string(value.created)},
@@ -218,7 +218,7 @@
   Json RangeJson(const Json& range) const {
     Json kvs = Json::array();
     for (const auto& [key, value] : Find(range)) {
-      kvs.push_back(KvJson(key, value));
+      kvs.push_back(EtcdJson(key, value));
     }
     const std::string count = std::to_string(kvs.size());
     return {{"header", Header()}, {"kvs", kvs}, {"count", count}};
@@ -423,7 +423,7 @@
     Json list = Json::array();
     for (const Event& it : events) {
       if (!Covers(watcher, it.key)) continue;
-      Json event = {{"kv", KvJson(it.key, it.value)}};
+      Json event = {{"kv", EtcdJson(it.key, it.value)}};
       if (it.deleted) event["type"] = "DELETE";
       list.push_back(event);
     }
