--- a/relay/budget_driver.cc
+++ b/relay/budget_driver.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/log.h"
-#include "relay/relay_flow.h"
+#include "relay/relayed_request.h"
 
 namespace quaytrack {
 namespace {
@@ -70,8 +70,8 @@
 
 ServedHolds::Handlers BudgetDriver::ServedHandlers() {
   ServedHolds::Handlers out;
-  out.hold = [this](const UserPtr& it) { HoldForPeer(it); };
-  out.forget = [this](const UserPtr& it) { ForgetHere(it); };
+  out.hold = [this](const HoldWaiterPtr& it) { HoldForPeer(it); };
+  out.forget = [this](const HoldWaiterPtr& it) { ForgetHere(it); };
   out.settle = [this](const CustomerName& customer, Tokens held, Tokens cost) {
     SettleHere(customer, held, cost);
   };
@@ -108,77 +108,80 @@
 
 // --- Requests ----------------------------------------------------------------
 
-PrepaidVerdict BudgetDriver::Hold(const std::shared_ptr<RelayFlow>& flow) {
-  if (!ledger_.IsLimited(flow->customer())) return PrepaidVerdict::kHeld;
+PrepaidVerdict BudgetDriver::Hold(
+    const std::shared_ptr<RelayedRequest>& request) {
+  if (!ledger_.IsLimited(request->customer())) return PrepaidVerdict::kHeld;
   // Requests that come before the list of routers has settled don't wait.
   TakePartIfHolder();
-  if (ledger_.TakesPart()) return HoldHere(flow);
-  HoldElsewhere(flow);
+  if (ledger_.TakesPart()) return HoldHere(request);
+  HoldElsewhere(request);
   return PrepaidVerdict::kShort;
 }
 
-PrepaidVerdict BudgetDriver::HoldHere(const UserPtr& user) {
-  DemandFor(user->customer())
-      .Add(clock_.Now(), static_cast<double>(user->worst_case()));
-  WaitingList& list = waiting_[user->customer()];
+PrepaidVerdict BudgetDriver::HoldHere(const HoldWaiterPtr& waiter) {
+  DemandFor(waiter->customer())
+      .Add(clock_.Now(), static_cast<double>(waiter->worst_case()));
+  WaitingList& list = waiting_[waiter->customer()];
   // Later requests don't overtake one that waits.
   if (list.empty()) {
     const PrepaidVerdict out =
-        ledger_.Hold(clock_.Now(), user->customer(), user->worst_case());
+        ledger_.Hold(clock_.Now(), waiter->customer(), waiter->worst_case());
     if (out != PrepaidVerdict::kShort) return out;
   }
-  list.push_back({user, clock_.Now(), 0});
-  UpdateWaiting(user->customer(), list);
+  list.push_back({waiter, clock_.Now(), 0});
+  UpdateWaiting(waiter->customer(), list);
   StartTicking();
   loop_.Post([this] { Pump(); });
   return PrepaidVerdict::kShort;
 }
 
-void BudgetDriver::HoldElsewhere(const std::shared_ptr<RelayFlow>& flow) {
+void BudgetDriver::HoldElsewhere(
+    const std::shared_ptr<RelayedRequest>& request) {
   RemoteHolds::Request out;
-  out.id = flow->id();
-  out.customer = flow->customer();
-  out.amount = flow->worst_case();
-  out.holders = fleet_.HoldersFor(flow->customer());
-  out.done = [this, flow](PrepaidVerdict verdict) {
-    AnswerLater(flow, verdict);
+  out.id = request->id();
+  out.customer = request->customer();
+  out.amount = request->worst_case();
+  out.holders = fleet_.HoldersFor(request->customer());
+  out.done = [this, request](PrepaidVerdict verdict) {
+    AnswerLater(request, verdict);
   };
   remote_.Ask(clock_.Now(), std::move(out));
   StartTicking();
 }
 
-void BudgetDriver::HoldForPeer(const UserPtr& user) {
-  const PrepaidVerdict verdict = HoldHere(user);
+void BudgetDriver::HoldForPeer(const HoldWaiterPtr& waiter) {
+  const PrepaidVerdict verdict = HoldHere(waiter);
   // Else it waits.
-  if (verdict != PrepaidVerdict::kShort) Answer(*user, verdict);
+  if (verdict != PrepaidVerdict::kShort) Answer(*waiter, verdict);
 }
 
-void BudgetDriver::Answer(BudgetUser& user, PrepaidVerdict verdict) {
-  if (verdict == PrepaidVerdict::kHeld) return user.OnHeld();
-  user.OnHoldRefused(verdict == PrepaidVerdict::kExhausted);
+void BudgetDriver::Answer(HoldWaiter& waiter, PrepaidVerdict verdict) {
+  if (verdict == PrepaidVerdict::kHeld) return waiter.OnHeld();
+  waiter.OnHoldRefused(verdict == PrepaidVerdict::kExhausted);
 }
 
-// Posted: the user may end, and change the list that is being gone through.
-void BudgetDriver::AnswerLater(const UserPtr& user, PrepaidVerdict verdict) {
-  loop_.Post([user, verdict] { Answer(*user, verdict); });
+// Posted: the waiter may end, and change the list that is being gone through.
+void BudgetDriver::AnswerLater(const HoldWaiterPtr& waiter,
+                               PrepaidVerdict verdict) {
+  loop_.Post([waiter, verdict] { Answer(*waiter, verdict); });
 }
 
-void BudgetDriver::Forget(const std::shared_ptr<RelayFlow>& flow) {
-  ForgetHere(flow);
-  remote_.Forget(clock_.Now(), flow->id());
+void BudgetDriver::Forget(const std::shared_ptr<RelayedRequest>& request) {
+  ForgetHere(request);
+  remote_.Forget(clock_.Now(), request->id());
 }
 
-void BudgetDriver::ForgetHere(const UserPtr& user) {
-  WaitingList& list = waiting_[user->customer()];
-  std::erase_if(list, [&](const Waiting& it) { return it.user == user; });
-  UpdateWaiting(user->customer(), list);
+void BudgetDriver::ForgetHere(const HoldWaiterPtr& waiter) {
+  WaitingList& list = waiting_[waiter->customer()];
+  std::erase_if(list, [&](const Waiting& it) { return it.waiter == waiter; });
+  UpdateWaiting(waiter->customer(), list);
 }
 
-void BudgetDriver::Settle(const RelayFlow& flow, Tokens cost) {
-  if (!remote_.Holds(flow.id())) {
-    return SettleHere(flow.customer(), flow.worst_case(), cost);
+void BudgetDriver::Settle(const RelayedRequest& request, Tokens cost) {
+  if (!remote_.Holds(request.id())) {
+    return SettleHere(request.customer(), request.worst_case(), cost);
   }
-  remote_.Settle(clock_.Now(), flow.id(), cost);
+  remote_.Settle(clock_.Now(), request.id(), cost);
   StartTicking();
 }
 
@@ -193,7 +196,7 @@
                                  const WaitingList& list) {
   const Tokens sum = std::accumulate(
       list.begin(), list.end(), Tokens{0},
-      [](Tokens n, const Waiting& it) { return n + it.user->worst_case(); });
+      [](Tokens n, const Waiting& it) { return n + it.waiter->worst_case(); });
   ledger_.SetWaiting(customer, sum);
 }
 
@@ -203,13 +206,13 @@
 
 void BudgetDriver::ServeList(const CustomerName& customer, WaitingList& list) {
   while (!list.empty()) {
-    const UserPtr user = list.front().user;
+    const HoldWaiterPtr waiter = list.front().waiter;
     const PrepaidVerdict verdict =
-        ledger_.Hold(clock_.Now(), customer, user->worst_case());
+        ledger_.Hold(clock_.Now(), customer, waiter->worst_case());
     if (verdict == PrepaidVerdict::kShort) break;
     list.pop_front();
     UpdateWaiting(customer, list);
-    AnswerLater(user, verdict);
+    AnswerLater(waiter, verdict);
   }
 }
 
@@ -228,10 +231,10 @@
   bool any = false;
   for (auto& [customer, list] : waiting_) {
     while (!list.empty() && now - list.front().since >= kPatience) {
-      const UserPtr user = list.front().user;
+      const HoldWaiterPtr waiter = list.front().waiter;
       list.pop_front();
-      LogShort(customer, user->worst_case());
-      AnswerLater(user, PrepaidVerdict::kShort);
+      LogShort(customer, waiter->worst_case());
+      AnswerLater(waiter, PrepaidVerdict::kShort);
       UpdateWaiting(customer, list);
     }
     if (list.empty()) continue;
@@ -297,7 +300,7 @@
   const double lately =
       DemandFor(customer).PerSecond(clock_.Now()) * ToSeconds(kDemandTime);
   Tokens sum = all ? 0 : std::max<Tokens>(kLeastSpare, std::lround(lately));
-  for (const Waiting& it : list) sum += it.user->worst_case();
+  for (const Waiting& it : list) sum += it.waiter->worst_case();
   PeerMessage ask;
   ask.kind = PeerMessageKind::kAsk;
   ask.from = self_;
--- a/relay/budget_driver.h
+++ b/relay/budget_driver.h
@@ -19,14 +19,14 @@
 #include "kv/store.h"
 #include "net/loop.h"
 #include "prepaid/prepaid_ledger.h"
-#include "relay/budget_user.h"
+#include "relay/hold_waiter.h"
 #include "relay/peer_messages.h"
 #include "relay/remote_holds.h"
 #include "relay/served_holds.h"
 
 namespace quaytrack {
 
-class RelayFlow;
+class RelayedRequest;
 
 class BudgetDriver {
  public:
@@ -52,11 +52,11 @@
   // The list of routers may make this one a holder.
   void TakePartIfHolder();
 
-  // kShort: the flow waits; `OnHeld` or `OnHoldRefused` follows.
-  PrepaidVerdict Hold(const std::shared_ptr<RelayFlow>& flow);
-  // Takes a waiting flow back.
-  void Forget(const std::shared_ptr<RelayFlow>& flow);
-  void Settle(const RelayFlow& flow, Tokens cost);
+  // kShort: the request waits; `OnHeld` or `OnHoldRefused` follows.
+  PrepaidVerdict Hold(const std::shared_ptr<RelayedRequest>& request);
+  // Takes a waiting request back.
+  void Forget(const std::shared_ptr<RelayedRequest>& request);
+  void Settle(const RelayedRequest& request, Tokens cost);
 
   void OnPeer(const PeerMessage& message);
   void OnPeerLost(const Incarnation& peer);
@@ -68,9 +68,9 @@
   const PrepaidLedger& ledger() const { return ledger_; }
 
  private:
-  using UserPtr = std::shared_ptr<BudgetUser>;
+  using HoldWaiterPtr = std::shared_ptr<HoldWaiter>;
   struct Waiting {
-    UserPtr user;
+    HoldWaiterPtr waiter;
     Instant since{};
     // How often peers were asked for it.
     int asked = 0;
@@ -78,14 +78,14 @@
   using WaitingList = std::deque<Waiting>;
 
   // The same for a part that this router keeps.
-  PrepaidVerdict HoldHere(const UserPtr& user);
-  void ForgetHere(const UserPtr& user);
+  PrepaidVerdict HoldHere(const HoldWaiterPtr& waiter);
+  void ForgetHere(const HoldWaiterPtr& waiter);
   void SettleHere(const CustomerName& customer, Tokens held, Tokens cost);
-  void HoldElsewhere(const std::shared_ptr<RelayFlow>& flow);
-  void HoldForPeer(const UserPtr& user);
+  void HoldElsewhere(const std::shared_ptr<RelayedRequest>& request);
+  void HoldForPeer(const HoldWaiterPtr& waiter);
   DecayingRate& DemandFor(const CustomerName& customer);
-  static void Answer(BudgetUser& user, PrepaidVerdict verdict);
-  void AnswerLater(const UserPtr& user, PrepaidVerdict verdict);
+  static void Answer(HoldWaiter& waiter, PrepaidVerdict verdict);
+  void AnswerLater(const HoldWaiterPtr& waiter, PrepaidVerdict verdict);
   RemoteHolds::Handlers RemoteHandlers();
   ServedHolds::Handlers ServedHandlers();
   void Tell(const Incarnation& peer, PeerMessage message);
--- a/relay/budget_user.h
+++ b/relay/hold_waiter.h
@@ -1,16 +1,16 @@
 // Who waits for a part of a customer's budget: a request of this router, or one
 // of another router for which this one keeps budgets.
 
-#ifndef QUAYTRACK_RELAY_BUDGET_USER_H_
-#define QUAYTRACK_RELAY_BUDGET_USER_H_
+#ifndef QUAYTRACK_RELAY_HOLD_WAITER_H_
+#define QUAYTRACK_RELAY_HOLD_WAITER_H_
 
 #include "base/ids.h"
 
 namespace quaytrack {
 
-class BudgetUser {
+class HoldWaiter {
  public:
-  virtual ~BudgetUser() = default;
+  virtual ~HoldWaiter() = default;
   virtual const CustomerName& customer() const = 0;
   // The most that it may cost.
   virtual Tokens worst_case() const = 0;
@@ -22,4 +22,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_RELAY_BUDGET_USER_H_
+#endif  // QUAYTRACK_RELAY_HOLD_WAITER_H_
--- a/relay/relay_context.h
+++ b/relay/relay_context.h
@@ -18,7 +18,7 @@
 
 namespace quaytrack {
 
-class RelayFlow;
+class RelayedRequest;
 class BudgetDriver;
 
 struct RelayContext {
@@ -36,7 +36,7 @@
   ServiceMapPtr map;
   // Retries by service; made on first use.
   std::map<ServiceName, RetryShare> retries;
-  std::set<std::shared_ptr<RelayFlow>> flows;
+  std::set<std::shared_ptr<RelayedRequest>> requests;
   std::minstd_rand random{std::random_device{}()};
 
   Instant Now() const { return clock.Now(); }
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -6,7 +6,7 @@
 
 #include "base/digest.h"
 #include "base/log.h"
-#include "relay/relay_flow.h"
+#include "relay/relayed_request.h"
 
 namespace quaytrack {
 namespace {
@@ -110,11 +110,12 @@
       link_({settings.link_mbps * kBytesPerMegabit}) {
   fleet_.OnChanged([this] { OnFleetChanged(); });
   budgets_.SetHandlers(BudgetHandlers());
-  caller_server_.Serve([this](std::shared_ptr<CallerConnection> caller,
-                              CallerRequest request) {
-    std::make_shared<RelayFlow>(context_, std::move(caller), std::move(request))
-        ->Start();
-  });
+  caller_server_.Serve(
+      [this](std::shared_ptr<CallerConnection> caller, CallerRequest request) {
+        std::make_shared<RelayedRequest>(context_, std::move(caller),
+                                         std::move(request))
+            ->Start();
+      });
   admin_server_.Serve(
       [this](const std::shared_ptr<CallerConnection>& caller,
              const CallerRequest& request) { AnswerAdmin(caller, request); });
@@ -249,7 +250,7 @@
 
 void RelayRouter::AnswerMetrics(
     const std::shared_ptr<CallerConnection>& caller) {
-  metrics_.SetGauge("flows", static_cast<double>(context_.flows.size()));
+  metrics_.SetGauge("flows", static_cast<double>(context_.requests.size()));
   metrics_.SetGauge("callers",
                     static_cast<double>(caller_server_.connections()));
   metrics_.SetGauge("peers_linked", static_cast<double>(peers_.linked()));
@@ -277,7 +278,7 @@
   LogEvent(link_.IsBusy() ? Event::kLinkBusy : Event::kLinkEased,
            {{"load", std::to_string(link_.load())},
             {"callers", std::to_string(caller_server_.connections())},
-            {"requests", std::to_string(context_.flows.size())}});
+            {"requests", std::to_string(context_.requests.size())}});
 }
 
 // --- Planned stop ------------------------------------------------------------
@@ -299,7 +300,7 @@
       drain_timer_ = loop_.After(
           settings_.drain_time - kBalancerTime - kStopMargin, [this] {
             LogEvent(Event::kDrainTimedOut,
-                     {{"requests", std::to_string(context_.flows.size())}});
+                     {{"requests", std::to_string(context_.requests.size())}});
             ApplyDrain(DrainEvent::kTimeUp);
           });
       return;
@@ -317,7 +318,7 @@
 
 void RelayRouter::CheckDrain() {
   const bool finishing = drain_.state() == DrainState::kFinishing;
-  if (finishing && context_.flows.empty()) {
+  if (finishing && context_.requests.empty()) {
     caller_server_.CloseIdle();
     ApplyDrain(DrainEvent::kRequestsEnded);
   }
--- a/relay/relay_flow.cc
+++ b/relay/relayed_request.cc
@@ -1,4 +1,4 @@
-#include "relay/relay_flow.h"
+#include "relay/relayed_request.h"
 
 #include <algorithm>
 #include <cmath>
@@ -72,17 +72,17 @@
 
 }  // namespace
 
-RelayFlow::RelayFlow(RelayContext& context,
-                     std::shared_ptr<CallerConnection> caller,
-                     CallerRequest request)
+RelayedRequest::RelayedRequest(RelayContext& context,
+                               std::shared_ptr<CallerConnection> caller,
+                               CallerRequest request)
     : context_(context),
       caller_(std::move(caller)),
       request_(std::move(request)),
       map_(context.map) {}
 
-void RelayFlow::Start() {
+void RelayedRequest::Start() {
   const auto self = shared_from_this();
-  context_.flows.insert(self);
+  context_.requests.insert(self);
   caller_->OnGone([self] { self->OnCallerGone(); });
   if (!Admit()) return;
   const Duration left = deadline_ - context_.Now();
@@ -94,7 +94,7 @@
 
 // --- Admission ---------------------------------------------------------------
 
-bool RelayFlow::Admit() {
+bool RelayedRequest::Admit() {
   if (!map_) {
     Refuse(503, RelayCause::kNoConfiguration, kWhenConfigured);
     return false;
@@ -138,7 +138,7 @@
   return true;
 }
 
-void RelayFlow::Hold() {
+void RelayedRequest::Hold() {
   if (worst_case_ == 0 || customer_.empty()) return Dispatch();
   switch (context_.budgets.Hold(shared_from_this())) {
     case PrepaidVerdict::kHeld:
@@ -151,7 +151,7 @@
   }
 }
 
-void RelayFlow::OnHeld() {
+void RelayedRequest::OnHeld() {
   // Granted while the request ended.
   if (ended_) return context_.budgets.Settle(*this, 0);
   held_ = true;
@@ -159,7 +159,7 @@
   Dispatch();
 }
 
-void RelayFlow::OnHoldRefused(bool exhausted) {
+void RelayedRequest::OnHoldRefused(bool exhausted) {
   waits_for_budget_ = false;
   if (exhausted) return Refuse(402, RelayCause::kBudgetExhausted, {});
   Refuse(503, RelayCause::kBudgetUnavailable, kWhenGranted);
@@ -167,9 +167,9 @@
 
 // --- Attempts ----------------------------------------------------------------
 
-Duration RelayFlow::Left() const { return deadline_ - context_.Now(); }
+Duration RelayedRequest::Left() const { return deadline_ - context_.Now(); }
 
-void RelayFlow::Dispatch() {
+void RelayedRequest::Dispatch() {
   if (Left() < kLeastTime) return OnDeadline();
   const auto choice = context_.placement.Choose(context_.Now(), placement_);
   if (choice) return Send(*choice);
@@ -179,7 +179,7 @@
   Refuse(503, cause, kSoon);
 }
 
-void RelayFlow::Send(const PlacementChoice& choice) {
+void RelayedRequest::Send(const PlacementChoice& choice) {
   const TargetEntry& target = choice.target;
   target_ = target;
   cost_ms_ = choice.cost_ms;
@@ -217,18 +217,18 @@
                                    : FirstPatience());
 }
 
-Duration RelayFlow::FirstPatience() const {
+Duration RelayedRequest::FirstPatience() const {
   if (!route_->Repeatable()) return Left();
   const bool stream = route_->kind == RouteKind::kStreaming;
   return Scaled(route_->target_latency,
                 stream ? kStreamPatience : kCallPatience);
 }
 
-void RelayFlow::WatchAttempt(Duration patience) {
+void RelayedRequest::WatchAttempt(Duration patience) {
   patience_timer_ = context_.loop.After(patience, [this] { OnPatienceOver(); });
 }
 
-void RelayFlow::OnPatienceOver() {
+void RelayedRequest::OnPatienceOver() {
   const auto self = shared_from_this();
   if (!call_) return;
   if (!call_->sent()) {
@@ -250,7 +250,7 @@
   Dispatch();
 }
 
-bool RelayFlow::OnHead(const HttpHead& head) {
+bool RelayedRequest::OnHead(const HttpHead& head) {
   const AnswerFacts facts = context_.target_dialect.Read(head);
   const bool ours = facts.request == facts_.id;
   const bool silent = facts.request.empty();
@@ -261,7 +261,7 @@
   return true;
 }
 
-void RelayFlow::OnBody(std::string_view bytes) {
+void RelayedRequest::OnBody(std::string_view bytes) {
   const auto self = shared_from_this();
   if (ended_) return;
   const bool stream = route_->kind == RouteKind::kStreaming && sound_ &&
@@ -273,7 +273,7 @@
   RelayEvents(bytes);
 }
 
-void RelayFlow::RelayEvents(std::string_view bytes) {
+void RelayedRequest::RelayEvents(std::string_view bytes) {
   const StreamEvents events = events_.Take(bytes);
   if (events.out_of_order) {
     call_->Cancel();
@@ -300,7 +300,7 @@
   call_->PauseReading();
 }
 
-void RelayFlow::BeginStream() {
+void RelayedRequest::BeginStream() {
   streaming_ = true;
   context_.metrics.ObserveFirstByte(customer_, route_->kind,
                                     context_.Now() - request_.begun);
@@ -313,7 +313,7 @@
   });
 }
 
-void RelayFlow::OnCallEnd(CallEnd end) {
+void RelayedRequest::OnCallEnd(CallEnd end) {
   const auto self = shared_from_this();
   call_.reset();
   if (ended_) return;
@@ -333,7 +333,7 @@
   OnWhole();
 }
 
-void RelayFlow::OnWhole() {
+void RelayedRequest::OnWhole() {
   if (streaming_ && IsSuccess(answer_.status)) {
     caller_->EndStream();
     ReleaseTarget(PlacementOutcome::kGood);
@@ -354,7 +354,7 @@
       answer_.status);
 }
 
-void RelayFlow::ReleaseTarget(PlacementOutcome outcome) {
+void RelayedRequest::ReleaseTarget(PlacementOutcome outcome) {
   patience_timer_.reset();
   if (!at_target_) return;
   at_target_ = false;
@@ -362,14 +362,14 @@
   unread_ = 0;
 }
 
-bool RelayFlow::MaySendAgain(Attempt ran) const {
+bool RelayedRequest::MaySendAgain(Attempt ran) const {
   if (caller_gone_ || Left() < kLeastTime || sends_ >= kMostSends) return false;
   if (ran == Attempt::kNotRun) return true;
   return route_->Repeatable() && sends_ < route_->max_attempts;
 }
 
 // Counts a retry if the request may be sent again and a target is there.
-bool RelayFlow::TakeRetry(Attempt ran) {
+bool RelayedRequest::TakeRetry(Attempt ran) {
   const Instant now = context_.Now();
   const bool possible =
       MaySendAgain(ran) &&
@@ -379,7 +379,7 @@
   return possible;
 }
 
-void RelayFlow::LogAttempt(Attempt ran) const {
+void RelayedRequest::LogAttempt(Attempt ran) const {
   LogEvent(
       Event::kAttemptEnded,
       {{"request", facts_.id.value},
@@ -393,7 +393,7 @@
             duration_cast<milliseconds>(context_.Now() - sent_at_).count())}});
 }
 
-void RelayFlow::OnAttemptEnded(Attempt ran, PlacementOutcome outcome) {
+void RelayedRequest::OnAttemptEnded(Attempt ran, PlacementOutcome outcome) {
   const auto self = shared_from_this();
   if (ran == Attempt::kMayHaveRun) may_have_run_ = true;
   ReleaseTarget(outcome);
@@ -406,7 +406,7 @@
 
 // --- Ends --------------------------------------------------------------------
 
-void RelayFlow::OnDeadline() {
+void RelayedRequest::OnDeadline() {
   const auto self = shared_from_this();
   if (ended_) return;
   if (waits_for_budget_) {
@@ -423,7 +423,7 @@
   Refuse(503, RelayCause::kTimedOut, kSoon);
 }
 
-void RelayFlow::OnCallerGone() {
+void RelayedRequest::OnCallerGone() {
   const auto self = shared_from_this();
   if (ended_) return;
   caller_gone_ = true;
@@ -439,7 +439,8 @@
   End(RelayCause::kCallerGone, 0);
 }
 
-void RelayFlow::Refuse(int status, RelayCause cause, Duration retry_after) {
+void RelayedRequest::Refuse(int status, RelayCause cause,
+                            Duration retry_after) {
   HttpHead head;
   head.status = status;
   head.headers.push_back({"Content-Type", "application/json"});
@@ -453,7 +454,7 @@
 }
 
 // Gives up a request that may have run.
-void RelayFlow::Fail(RelayCause cause) {
+void RelayedRequest::Fail(RelayCause cause) {
   if (streaming_) {
     caller_->Abort();
     return End(RelayCause::kStreamBroke, 0);
@@ -470,14 +471,14 @@
 
 // The prompt counts once for a request that may have run, and each event that a
 // target handed out. What it may have handed out beyond that is on its way.
-Tokens RelayFlow::Cost() const {
+Tokens RelayedRequest::Cost() const {
   if (!may_have_run_ && !streaming_) return 0;
   const Tokens out =
       static_cast<Tokens>(events_relayed_) * service_->event_tokens;
   return std::min(worst_case_, facts_.prompt_tokens + out);
 }
 
-void RelayFlow::End(RelayCause cause, int status) {
+void RelayedRequest::End(RelayCause cause, int status) {
   if (ended_) return;
   ended_ = true;
   deadline_timer_.reset();
@@ -502,7 +503,7 @@
             {"config", std::to_string(map_ ? map_->version() : 0)},
             {"ms", std::to_string(duration_cast<milliseconds>(took).count())}});
   context_.loop.Post(
-      [this, self = shared_from_this()] { context_.flows.erase(self); });
+      [this, self = shared_from_this()] { context_.requests.erase(self); });
 }
 
 }  // namespace quaytrack
--- a/relay/relay_flow.h
+++ b/relay/relayed_request.h
@@ -13,8 +13,8 @@
 //     when to come back if it has not run (`Refuse`);
 //   - what was held of the budget is settled once, in `End`.
 
-#ifndef QUAYTRACK_RELAY_RELAY_FLOW_H_
-#define QUAYTRACK_RELAY_RELAY_FLOW_H_
+#ifndef QUAYTRACK_RELAY_RELAYED_REQUEST_H_
+#define QUAYTRACK_RELAY_RELAYED_REQUEST_H_
 
 #include <memory>
 #include <string>
@@ -22,8 +22,8 @@
 #include "base/enum_table.h"
 #include "http/caller_connection.h"
 #include "http/target_connection.h"
-#include "relay/budget_user.h"
 #include "relay/events.h"
+#include "relay/hold_waiter.h"
 #include "relay/relay_context.h"
 
 namespace quaytrack {
@@ -65,11 +65,12 @@
        {RelayCause::kCallerGone, "caller_gone"}});
 };
 
-class RelayFlow : public BudgetUser,
-                  public std::enable_shared_from_this<RelayFlow> {
+class RelayedRequest : public HoldWaiter,
+                       public std::enable_shared_from_this<RelayedRequest> {
  public:
-  RelayFlow(RelayContext& context, std::shared_ptr<CallerConnection> caller,
-            CallerRequest request);
+  RelayedRequest(RelayContext& context,
+                 std::shared_ptr<CallerConnection> caller,
+                 CallerRequest request);
 
   void Start();
   // The budget's answer, for a request that had to wait for it.
@@ -159,4 +160,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_RELAY_RELAY_FLOW_H_
+#endif  // QUAYTRACK_RELAY_RELAYED_REQUEST_H_
--- a/relay/served_holds.h
+++ b/relay/served_holds.h
@@ -17,7 +17,7 @@
 #include <utility>
 
 #include "base/ids.h"
-#include "relay/budget_user.h"
+#include "relay/hold_waiter.h"
 #include "relay/peer_messages.h"
 
 namespace quaytrack {
@@ -25,9 +25,9 @@
 class ServedHolds {
  public:
   struct Handlers {
-    // The holder's own budgets; `hold` is answered by the user's callbacks.
-    std::function<void(const std::shared_ptr<BudgetUser>&)> hold;
-    std::function<void(const std::shared_ptr<BudgetUser>&)> forget;
+    // The holder's own budgets; `hold` is answered by the waiter's callbacks.
+    std::function<void(const std::shared_ptr<HoldWaiter>&)> hold;
+    std::function<void(const std::shared_ptr<HoldWaiter>&)> forget;
     std::function<void(const CustomerName&, Tokens held, Tokens cost)> settle;
     std::function<void(const Incarnation&, const PeerMessage&)> tell;
   };
@@ -48,7 +48,7 @@
     RequestId request;
     auto operator<=>(const Key&) const = default;
   };
-  struct Hold : BudgetUser {
+  struct Hold : HoldWaiter {
     Hold(ServedHolds& owner, Key key, CustomerName customer, Tokens amount)
         : owner_(owner),
           key_(std::move(key)),
--- a/relay/testing/holds_test.cc
+++ b/relay/testing/holds_test.cc
@@ -22,12 +22,12 @@
 struct Holder {
   explicit Holder(Incarnation name) : self(std::move(name)) {
     ServedHolds::Handlers on;
-    on.hold = [this](const std::shared_ptr<BudgetUser>& it) {
+    on.hold = [this](const std::shared_ptr<HoldWaiter>& it) {
       if (silent) return;
       held += it->worst_case();
       it->OnHeld();
     };
-    on.forget = [](const std::shared_ptr<BudgetUser>&) {};
+    on.forget = [](const std::shared_ptr<HoldWaiter>&) {};
     on.settle = [this](const CustomerName&, Tokens amount, Tokens cost) {
       held -= amount;
       spent += cost;
