--- a/relay/budget_driver.cc
+++ b/relay/budget_driver.cc
@@ -7,7 +7,6 @@
 #include <vector>
 
 #include "base/log.h"
-#include "relay/relayed_request.h"
 
 namespace quaytrack {
 namespace {
@@ -108,8 +107,7 @@
 
 // --- Requests ----------------------------------------------------------------
 
-PrepaidVerdict BudgetDriver::Hold(
-    const std::shared_ptr<RelayedRequest>& request) {
+PrepaidVerdict BudgetDriver::Hold(const HoldWaiterPtr& request) {
   if (!ledger_.IsLimited(request->customer())) return PrepaidVerdict::kHeld;
   // Requests that come before the list of routers has settled don't wait.
   TakePartIfHolder();
@@ -135,8 +133,7 @@
   return PrepaidVerdict::kShort;
 }
 
-void BudgetDriver::HoldElsewhere(
-    const std::shared_ptr<RelayedRequest>& request) {
+void BudgetDriver::HoldElsewhere(const HoldWaiterPtr& request) {
   RemoteHolds::Request out;
   out.id = request->id();
   out.customer = request->customer();
@@ -166,7 +163,7 @@
   loop_.Post([waiter, verdict] { Answer(*waiter, verdict); });
 }
 
-void BudgetDriver::Forget(const std::shared_ptr<RelayedRequest>& request) {
+void BudgetDriver::Forget(const HoldWaiterPtr& request) {
   ForgetHere(request);
   remote_.Forget(clock_.Now(), request->id());
 }
@@ -177,7 +174,7 @@
   UpdateWaiting(waiter->customer(), list);
 }
 
-void BudgetDriver::Settle(const RelayedRequest& request, Tokens cost) {
+void BudgetDriver::Settle(const HoldWaiter& request, Tokens cost) {
   if (!remote_.Holds(request.id())) {
     return SettleHere(request.customer(), request.worst_case(), cost);
   }
--- a/relay/budget_driver.h
+++ b/relay/budget_driver.h
@@ -26,10 +26,10 @@
 
 namespace quaytrack {
 
-class RelayedRequest;
-
 class BudgetDriver {
  public:
+  using HoldWaiterPtr = std::shared_ptr<HoldWaiter>;
+
   struct Handlers {
     // Tells all linked peers.
     std::function<void(const PeerMessage&)> broadcast;
@@ -53,10 +53,10 @@
   void TakePartIfHolder();
 
   // kShort: the request waits; `OnHeld` or `OnHoldRefused` follows.
-  PrepaidVerdict Hold(const std::shared_ptr<RelayedRequest>& request);
+  PrepaidVerdict Hold(const HoldWaiterPtr& request);
   // Takes a waiting request back.
-  void Forget(const std::shared_ptr<RelayedRequest>& request);
-  void Settle(const RelayedRequest& request, Tokens cost);
+  void Forget(const HoldWaiterPtr& request);
+  void Settle(const HoldWaiter& request, Tokens cost);
 
   void OnPeer(const PeerMessage& message);
   void OnPeerLost(const Incarnation& peer);
@@ -68,7 +68,6 @@
   const PrepaidLedger& ledger() const { return ledger_; }
 
  private:
-  using HoldWaiterPtr = std::shared_ptr<HoldWaiter>;
   struct Waiting {
     HoldWaiterPtr waiter;
     Instant since{};
@@ -81,7 +80,7 @@
   PrepaidVerdict HoldHere(const HoldWaiterPtr& waiter);
   void ForgetHere(const HoldWaiterPtr& waiter);
   void SettleHere(const CustomerName& customer, Tokens held, Tokens cost);
-  void HoldElsewhere(const std::shared_ptr<RelayedRequest>& request);
+  void HoldElsewhere(const HoldWaiterPtr& request);
   void HoldForPeer(const HoldWaiterPtr& waiter);
   DecayingRate& DemandFor(const CustomerName& customer);
   static void Answer(HoldWaiter& waiter, PrepaidVerdict verdict);
--- a/relay/hold_waiter.h
+++ b/relay/hold_waiter.h
@@ -11,6 +11,7 @@
 class HoldWaiter {
  public:
   virtual ~HoldWaiter() = default;
+  virtual const RequestId& id() const = 0;
   virtual const CustomerName& customer() const = 0;
   // The most that it may cost.
   virtual Tokens worst_case() const = 0;
--- a/relay/relayed_request.h
+++ b/relay/relayed_request.h
@@ -77,7 +77,7 @@
   void OnHeld() override;
   void OnHoldRefused(bool exhausted) override;
 
-  const RequestId& id() const { return facts_.id; }
+  const RequestId& id() const override { return facts_.id; }
   const CustomerName& customer() const override { return customer_; }
   Tokens worst_case() const override { return worst_case_; }
 
--- a/relay/served_holds.h
+++ b/relay/served_holds.h
@@ -54,6 +54,7 @@
           key_(std::move(key)),
           customer_(std::move(customer)),
           amount_(amount) {}
+    const RequestId& id() const override { return key_.request; }
     const CustomerName& customer() const override { return customer_; }
     Tokens worst_case() const override { return amount_; }
     void OnHeld() override;
