--- /dev/null
+++ b/relay/ran.h
@@ -0,0 +1,31 @@
+// What a router knows about whether a request ran at a target.
+//
+//   Ran::kNo       It certainly did not: nothing of it was handed to the
+//   kernel,
+//                  or the target said so. It may be sent to another target, and
+//                  a refusal may promise the caller that it has not run.
+//   Ran::kUnknown  It was sent, at least in part, and may have run, whatever
+//                  came back. It is charged for, and only what may be repeated
+//                  is sent again.
+//
+// There is no "yes": nobody decides anything by it. The names are those of the
+// `ran` field in answers to callers and in `attempt_ended`.
+
+#ifndef QUAYTRACK_RELAY_RAN_H_
+#define QUAYTRACK_RELAY_RAN_H_
+
+#include "base/enum_table.h"
+
+namespace quaytrack {
+
+enum class Ran { kNo, kUnknown };
+
+template <>
+struct EnumTable<Ran> {
+  static constexpr auto kEntries = std::to_array<EnumEntry<Ran>>(
+      {{Ran::kNo, "no"}, {Ran::kUnknown, "unknown"}});
+};
+
+}  // namespace quaytrack
+
+#endif  // QUAYTRACK_RELAY_RAN_H_
--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -2,7 +2,6 @@
 
 #include <algorithm>
 #include <cmath>
-#include <cstdio>
 #include <utility>
 
 #include "base/log.h"
@@ -20,10 +19,6 @@
 constexpr Duration kLeastTime = milliseconds(30);
 // How long a connection to a target may take to open.
 constexpr Duration kConnectPatience = milliseconds(250);
-// When a caller should come back, by what it was refused for.
-constexpr Duration kSoon = milliseconds(200);
-constexpr Duration kWhenConfigured = milliseconds(500);
-constexpr Duration kWhenGranted = milliseconds(1000);
 // A caller that takes less than it is sent is buffered up to this; then reading
 // from the target stops until it has drained.
 constexpr std::size_t kMostUnsent = 64 * 1024;
@@ -50,12 +45,6 @@
   return std::string_view(*host).substr(0, host->find(':'));
 }
 
-std::string RetryAfterText(Duration d) {
-  char out[32];
-  std::snprintf(out, sizeof out, "%.2f", ToSeconds(d));
-  return out;
-}
-
 // A target's head as the caller gets it.
 HttpHead ForCaller(const HttpHead& head) {
   HttpHead out;
@@ -96,24 +85,24 @@
 
 bool RelayedRequest::Admit() {
   if (!map_) {
-    Refuse(503, RelayCause::kNoConfiguration, kWhenConfigured);
+    Refuse(RelayCause::kNoConfiguration);
     return false;
   }
   auto facts = context_.callers.Read(request_.head);
   if (!facts || facts->id.empty()) {
-    Refuse(400, RelayCause::kMalformed, {});
+    Refuse(RelayCause::kMalformed);
     return false;
   }
   facts_ = std::move(facts.value());
   route_ = map_->Match(HostName(request_.head), request_.head.Path());
   if (route_ == nullptr) {
-    Refuse(404, RelayCause::kNoRoute, {});
+    Refuse(RelayCause::kNoRoute);
     return false;
   }
   if (!route_->open_to_all && map_->needs_keys()) {
     const CustomerRule* customer = map_->FindKey(facts_.key);
     if (customer == nullptr) {
-      Refuse(401, RelayCause::kUnknownKey, {});
+      Refuse(RelayCause::kUnknownKey);
       return false;
     }
     customer_ = customer->name;
@@ -123,7 +112,7 @@
   const ServiceName& name = PickService(*route_, draw(context_.random));
   service_ = map_->FindService(name);
   if (service_ == nullptr) {
-    Refuse(503, RelayCause::kNoTarget, kSoon);
+    Refuse(RelayCause::kNoTarget);
     return false;
   }
   const auto time =
@@ -161,8 +150,8 @@
 
 void RelayedRequest::OnHoldRefused(bool exhausted) {
   waits_for_budget_ = false;
-  if (exhausted) return Refuse(402, RelayCause::kBudgetExhausted, {});
-  Refuse(503, RelayCause::kBudgetUnavailable, kWhenGranted);
+  if (exhausted) return Refuse(RelayCause::kBudgetExhausted);
+  Refuse(RelayCause::kBudgetUnavailable);
 }
 
 // --- Attempts ----------------------------------------------------------------
@@ -176,7 +165,7 @@
   if (may_have_run_) return Fail(RelayCause::kTargetFailed);
   const RelayCause cause =
       sends_ > 0 ? RelayCause::kTurnedAway : RelayCause::kNoTarget;
-  Refuse(503, cause, kSoon);
+  Refuse(cause);
 }
 
 void RelayedRequest::Send(const PlacementChoice& choice) {
@@ -234,19 +223,19 @@
   if (!call_->sent()) {
     call_->Cancel();
     call_.reset();
-    return OnAttemptEnded(Attempt::kNotRun, PlacementOutcome::kFailed);
+    return OnAttemptEnded(Ran::kNo, PlacementOutcome::kFailed);
   }
   const Duration waited = context_.Now() - sent_at_;
   if (!answering_ && waited < FirstPatience()) {
     return WatchAttempt(FirstPatience() - waited);
   }
   // Not stopped for nothing: only if it may be sent to another target.
-  if (!TakeRetry(Attempt::kMayHaveRun)) return;
+  if (!TakeRetry(Ran::kUnknown)) return;
   call_->Cancel();
   call_.reset();
   may_have_run_ = true;
   ReleaseTarget(PlacementOutcome::kFailed);
-  LogAttempt(Attempt::kMayHaveRun);
+  LogAttempt(Ran::kUnknown);
   Dispatch();
 }
 
@@ -278,7 +267,7 @@
   if (events.out_of_order) {
     call_->Cancel();
     call_.reset();
-    return OnAttemptEnded(Attempt::kMayHaveRun, PlacementOutcome::kFailed);
+    return OnAttemptEnded(Ran::kUnknown, PlacementOutcome::kFailed);
   }
   if (events.bytes.empty()) return;
   if (!answering_) {
@@ -318,17 +307,17 @@
   call_.reset();
   if (ended_) return;
   if (end == CallEnd::kNotSent) {
-    return OnAttemptEnded(Attempt::kNotRun, PlacementOutcome::kFailed);
+    return OnAttemptEnded(Ran::kNo, PlacementOutcome::kFailed);
   }
   if (end == CallEnd::kBroken) {
-    return OnAttemptEnded(Attempt::kMayHaveRun, PlacementOutcome::kFailed);
+    return OnAttemptEnded(Ran::kUnknown, PlacementOutcome::kFailed);
   }
   if (not_run_) {
-    return OnAttemptEnded(Attempt::kNotRun, PlacementOutcome::kTurnedAway);
+    return OnAttemptEnded(Ran::kNo, PlacementOutcome::kTurnedAway);
   }
   const bool whole = sound_ && !events_.InEvent();
   if (!whole) {
-    return OnAttemptEnded(Attempt::kMayHaveRun, PlacementOutcome::kFailed);
+    return OnAttemptEnded(Ran::kUnknown, PlacementOutcome::kFailed);
   }
   OnWhole();
 }
@@ -340,11 +329,11 @@
     return End(RelayCause::kServed, answer_.status);
   }
   if (streaming_) {
-    return OnAttemptEnded(Attempt::kMayHaveRun, PlacementOutcome::kFailed);
+    return OnAttemptEnded(Ran::kUnknown, PlacementOutcome::kFailed);
   }
   const bool error = IsServerError(answer_.status);
-  if (error && MaySendAgain(Attempt::kMayHaveRun)) {
-    return OnAttemptEnded(Attempt::kMayHaveRun, PlacementOutcome::kNeutral);
+  if (error && MaySendAgain(Ran::kUnknown)) {
+    return OnAttemptEnded(Ran::kUnknown, PlacementOutcome::kNeutral);
   }
   may_have_run_ = true;
   if (!caller_gone_) caller_->Reply(ForCaller(answer_), body_);
@@ -362,14 +351,14 @@
   unread_ = 0;
 }
 
-bool RelayedRequest::MaySendAgain(Attempt ran) const {
+bool RelayedRequest::MaySendAgain(Ran ran) const {
   if (caller_gone_ || Left() < kLeastTime || sends_ >= kMostSends) return false;
-  if (ran == Attempt::kNotRun) return true;
+  if (ran == Ran::kNo) return true;
   return route_->Repeatable() && sends_ < route_->max_attempts;
 }
 
 // Counts a retry if the request may be sent again and a target is there.
-bool RelayedRequest::TakeRetry(Attempt ran) {
+bool RelayedRequest::TakeRetry(Ran ran) {
   const Instant now = context_.Now();
   const bool possible =
       MaySendAgain(ran) &&
@@ -379,12 +368,12 @@
   return possible;
 }
 
-void RelayedRequest::LogAttempt(Attempt ran) const {
+void RelayedRequest::LogAttempt(Ran ran) const {
   LogEvent(
       Event::kAttemptEnded,
       {{"request", facts_.id.value},
        {"target", target_.name.value},
-       {"ran", ran == Attempt::kNotRun ? "no" : "unknown"},
+       {"ran", std::string(NameOf(ran))},
        {"status", std::to_string(answer_.status)},
        {"events", std::to_string(events_relayed_)},
        {"sends", std::to_string(sends_)},
@@ -393,15 +382,15 @@
             duration_cast<milliseconds>(context_.Now() - sent_at_).count())}});
 }
 
-void RelayedRequest::OnAttemptEnded(Attempt ran, PlacementOutcome outcome) {
+void RelayedRequest::OnAttemptEnded(Ran ran, PlacementOutcome outcome) {
   const auto self = shared_from_this();
-  if (ran == Attempt::kMayHaveRun) may_have_run_ = true;
+  if (ran == Ran::kUnknown) may_have_run_ = true;
   ReleaseTarget(outcome);
   LogAttempt(ran);
   if (caller_gone_) return End(RelayCause::kCallerGone, 0);
   if (TakeRetry(ran)) return Dispatch();
   if (may_have_run_) return Fail(RelayCause::kTargetFailed);
-  Refuse(503, RelayCause::kTurnedAway, kSoon);
+  Refuse(RelayCause::kTurnedAway);
 }
 
 // --- Ends --------------------------------------------------------------------
@@ -420,7 +409,7 @@
                            : PlacementOutcome::kFailed);
   may_have_run_ = sent;
   if (sent) return Fail(RelayCause::kTimedOut);
-  Refuse(503, RelayCause::kTimedOut, kSoon);
+  Refuse(RelayCause::kTimedOut);
 }
 
 void RelayedRequest::OnCallerGone() {
@@ -439,19 +428,7 @@
   End(RelayCause::kCallerGone, 0);
 }
 
-void RelayedRequest::Refuse(int status, RelayCause cause,
-                            Duration retry_after) {
-  HttpHead head;
-  head.status = status;
-  head.headers.push_back({"Content-Type", "application/json"});
-  if (retry_after > Duration::zero()) {
-    head.headers.push_back({"Retry-After", RetryAfterText(retry_after)});
-  }
-  const std::string body =
-      "{\"error\":\"" + std::string(NameOf(cause)) + "\",\"ran\":\"no\"}\n";
-  caller_->Reply(head, body);
-  End(cause, status);
-}
+void RelayedRequest::Refuse(RelayCause cause) { AnswerCaller(cause, Ran::kNo); }
 
 // Gives up a request that may have run.
 void RelayedRequest::Fail(RelayCause cause) {
@@ -459,14 +436,13 @@
     caller_->Abort();
     return End(RelayCause::kStreamBroke, 0);
   }
-  HttpHead head;
-  head.status = cause == RelayCause::kTimedOut ? 504 : 502;
-  head.headers.push_back({"Content-Type", "application/json"});
-  const std::string body = "{\"error\":\"" + std::string(NameOf(cause)) +
-                           "\",\"ran\":\"unknown\"}\n";
-  const int status = head.status;
-  caller_->Reply(head, body);
-  End(cause, status);
+  AnswerCaller(cause, Ran::kUnknown);
+}
+
+void RelayedRequest::AnswerCaller(RelayCause cause, Ran ran) {
+  const FinalAnswer answer = MakeFinalAnswer(cause, ran);
+  caller_->Reply(answer.head, answer.body);
+  End(cause, answer.head.status);
 }
 
 // The prompt counts once for a request that may have run, and each event that a
--- a/relay/relayed_request.h
+++ b/relay/relayed_request.h
@@ -19,52 +19,16 @@
 #include <memory>
 #include <string>
 
-#include "base/enum_table.h"
 #include "http/caller_connection.h"
 #include "http/target_connection.h"
 #include "relay/events.h"
+#include "relay/final_answer.h"
 #include "relay/hold_waiter.h"
+#include "relay/ran.h"
 #include "relay/relay_context.h"
 
 namespace quaytrack {
 
-// Why a request ended as it did; one word of the log and of the metrics.
-enum class RelayCause {
-  kServed,
-  kTargetError,  // the target's own error, passed on
-  kNoConfiguration,
-  kMalformed,
-  kNoRoute,
-  kUnknownKey,
-  kBudgetExhausted,
-  kBudgetUnavailable,
-  kNoTarget,
-  kTurnedAway,    // targets refused it for lack of room
-  kTargetFailed,  // may have run
-  kTimedOut,
-  kStreamBroke,
-  kCallerGone,
-};
-
-template <>
-struct EnumTable<RelayCause> {
-  static constexpr auto kEntries = std::to_array<EnumEntry<RelayCause>>(
-      {{RelayCause::kServed, "served"},
-       {RelayCause::kTargetError, "target_error"},
-       {RelayCause::kNoConfiguration, "no_configuration"},
-       {RelayCause::kMalformed, "malformed"},
-       {RelayCause::kNoRoute, "no_route"},
-       {RelayCause::kUnknownKey, "unknown_key"},
-       {RelayCause::kBudgetExhausted, "budget_exhausted"},
-       {RelayCause::kBudgetUnavailable, "budget_unavailable"},
-       {RelayCause::kNoTarget, "no_target"},
-       {RelayCause::kTurnedAway, "turned_away"},
-       {RelayCause::kTargetFailed, "target_failed"},
-       {RelayCause::kTimedOut, "timed_out"},
-       {RelayCause::kStreamBroke, "stream_broke"},
-       {RelayCause::kCallerGone, "caller_gone"}});
-};
-
 class RelayedRequest : public HoldWaiter,
                        public std::enable_shared_from_this<RelayedRequest> {
  public:
@@ -82,8 +46,6 @@
   Tokens worst_case() const override { return worst_case_; }
 
  private:
-  enum class Attempt { kNotRun, kMayHaveRun };
-
   bool Admit();
   void Hold();
   void Dispatch();
@@ -98,17 +60,18 @@
   void OnCallEnd(CallEnd end);
   void OnWhole();
   void OnPatienceOver();
-  void OnAttemptEnded(Attempt ran, PlacementOutcome outcome);
-  bool MaySendAgain(Attempt ran) const;
-  bool TakeRetry(Attempt ran);
-  void LogAttempt(Attempt ran) const;
+  void OnAttemptEnded(Ran ran, PlacementOutcome outcome);
+  bool MaySendAgain(Ran ran) const;
+  bool TakeRetry(Ran ran);
+  void LogAttempt(Ran ran) const;
   void ReleaseTarget(PlacementOutcome outcome);
   void OnDeadline();
   void OnCallerGone();
 
-  // Final answers. `retry_after` is for requests that have not run.
-  void Refuse(int status, RelayCause cause, Duration retry_after);
+  // Final answers, to a request that has not run and to one that may have.
+  void Refuse(RelayCause cause);
   void Fail(RelayCause cause);
+  void AnswerCaller(RelayCause cause, Ran ran);
   void End(RelayCause cause, int status);
   Tokens Cost() const;
   Duration Left() const;
