--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -6,6 +6,7 @@
 
 #include "base/log.h"
 #include "relay/budget_driver.h"
+#include "relay/request_cost.h"
 
 namespace quaytrack {
 namespace {
@@ -445,13 +446,11 @@
   End(cause, answer.head.status);
 }
 
-// The prompt counts once for a request that may have run, and each event that a
-// target handed out. What it may have handed out beyond that is on its way.
 Tokens RelayedRequest::Cost() const {
-  if (!may_have_run_ && !streaming_) return 0;
-  const Tokens out =
-      static_cast<Tokens>(events_relayed_) * service_->event_tokens;
-  return std::min(worst_case_, facts_.prompt_tokens + out);
+  if (!held_) return 0;
+  const Ran ran = may_have_run_ || streaming_ ? Ran::kUnknown : Ran::kNo;
+  return CostOf({ran, worst_case_, facts_.prompt_tokens, events_relayed_,
+                 service_->event_tokens});
 }
 
 void RelayedRequest::End(RelayCause cause, int status) {
@@ -475,7 +474,7 @@
             {"first_ms", std::to_string(first_ms_)},
             {"events", std::to_string(events_relayed_)},
             {"held", std::to_string(worst_case_)},
-            {"cost", std::to_string(held_ ? Cost() : 0)},
+            {"cost", std::to_string(Cost())},
             {"config", std::to_string(map_ ? map_->version() : 0)},
             {"ms", std::to_string(duration_cast<milliseconds>(took).count())}});
   context_.loop.Post(
--- /dev/null
+++ b/relay/request_cost.h
@@ -0,0 +1,45 @@
+// What a request costs its customer, in tokens.
+//
+//   const Tokens cost = CostOf({ran, worst_case, prompt_tokens, events, 3});
+//
+// Rule. A request that has not run costs nothing. One that may have run costs
+// its prompt, once however often it was sent, and the tokens of every event
+// that was passed on to the caller. The cost never passes the worst case, which
+// is what was held of the budget (relay/hold_waiter.h).
+//
+// Reason. The budget is the sum of what targets hand out, so whatever may have
+// been handed out is charged. What a target has produced and this router hasn't
+// read is not known here, and is left out. The part of each limit that the
+// ledger never grants is there for such differences (`PrepaidPolicy::reserve`
+// in prepaid/prepaid_ledger.h).
+
+#ifndef QUAYTRACK_RELAY_REQUEST_COST_H_
+#define QUAYTRACK_RELAY_REQUEST_COST_H_
+
+#include <algorithm>
+
+#include "base/ids.h"
+#include "relay/ran.h"
+
+namespace quaytrack {
+
+struct CostFacts {
+  // Of all attempts together.
+  Ran ran = Ran::kNo;
+  Tokens worst_case = 0;
+  Tokens prompt_tokens = 0;
+  // Events passed on, of all attempts together.
+  int events = 0;
+  // Tokens in one event.
+  int event_tokens = 1;
+};
+
+inline Tokens CostOf(const CostFacts& it) {
+  if (it.ran == Ran::kNo) return 0;
+  const Tokens out = static_cast<Tokens>(it.events) * it.event_tokens;
+  return std::min(it.worst_case, it.prompt_tokens + out);
+}
+
+}  // namespace quaytrack
+
+#endif  // QUAYTRACK_RELAY_REQUEST_COST_H_
--- /dev/null
+++ b/relay/testing/request_cost_test.cc
@@ -0,0 +1,34 @@
+// What a request costs.
+
+#include "relay/request_cost.h"
+
+#include <boost/test/unit_test.hpp>
+
+namespace quaytrack {
+namespace {
+
+constexpr Tokens kWorstCase = 130;
+constexpr Tokens kPrompt = 100;
+constexpr int kEventTokens = 3;
+
+Tokens Cost(Ran ran, int events) {
+  return CostOf({ran, kWorstCase, kPrompt, events, kEventTokens});
+}
+
+BOOST_AUTO_TEST_CASE(WhatHasNotRunCostsNothing) {
+  BOOST_TEST(Cost(Ran::kNo, 0) == 0);
+}
+
+BOOST_AUTO_TEST_CASE(WhatMayHaveRunCostsItsPromptAndItsEvents) {
+  BOOST_TEST(Cost(Ran::kUnknown, 0) == kPrompt);
+  BOOST_TEST(Cost(Ran::kUnknown, 4) == kPrompt + 12);
+}
+
+// The last event may hold fewer tokens than the others.
+BOOST_AUTO_TEST_CASE(NothingCostsMoreThanItsWorstCase) {
+  BOOST_TEST(Cost(Ran::kUnknown, 10) == kWorstCase);
+  BOOST_TEST(Cost(Ran::kUnknown, 11) == kWorstCase);
+}
+
+}  // namespace
+}  // namespace quaytrack
