--- /dev/null
+++ b/relay/admission.cc
@@ -0,0 +1,61 @@
+#include "relay/admission.h"
+
+#include <algorithm>
+#include <string_view>
+#include <utility>
+
+namespace quaytrack {
+namespace {
+
+// An answer at the deadline leaves this much earlier, so that it arrives in
+// time. Not measured.
+constexpr Duration kDeadlineMargin = std::chrono::milliseconds(15);
+
+std::string_view HostName(const HttpHead& head) {
+  const std::string* host = head.Find("host");
+  if (host == nullptr) return {};
+  return std::string_view(*host).substr(0, host->find(':'));
+}
+
+// False if the route needs a key and the request has no known one.
+bool AdmitCustomer(const ServiceMap& map, Admission& out) {
+  if (out.route->open_to_all || !map.needs_keys()) return true;
+  const CustomerRule* customer = map.FindKey(out.facts.key);
+  if (customer == nullptr) return false;
+  out.customer = customer->name;
+  out.customer_priority = customer->priority;
+  return true;
+}
+
+// The caller's own limit, up to the route's, from the request's first byte.
+Instant DeadlineOf(const CallerRequest& request, const Admission& it) {
+  const auto longest = it.route->timeout;
+  const auto time = std::min(it.facts.time_left.value_or(longest), longest);
+  return request.begun + time - kDeadlineMargin;
+}
+
+}  // namespace
+
+std::optional<RelayCause> Admit(const AdmissionInput& input, Admission& out) {
+  if (input.map == nullptr) return RelayCause::kNoConfiguration;
+  const ServiceMap& map = *input.map;
+  const HttpHead& head = input.request.head;
+  auto facts = input.dialect.Read(head);
+  if (!facts || facts->id.empty()) return RelayCause::kMalformed;
+  out.facts = std::move(facts.value());
+  out.route = map.Match(HostName(head), head.Path());
+  if (out.route == nullptr) return RelayCause::kNoRoute;
+  if (!AdmitCustomer(map, out)) return RelayCause::kUnknownKey;
+  const ServiceName& name = PickService(*out.route, input.draw);
+  out.service = map.FindService(name);
+  if (out.service == nullptr) return RelayCause::kNoTarget;
+  out.deadline = DeadlineOf(input.request, out);
+  out.placement.service = name;
+  if (!out.service->IsEngine()) return std::nullopt;
+  out.worst_case = out.facts.prompt_tokens + out.facts.most_tokens_out;
+  out.placement.parts = out.facts.parts;
+  out.placement.prompt_tokens = std::max<Tokens>(1, out.facts.prompt_tokens);
+  return std::nullopt;
+}
+
+}  // namespace quaytrack
--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <cmath>
+#include <random>
 #include <utility>
 
 #include "base/log.h"
@@ -14,8 +15,6 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-// Answers at the deadline are given this much before it, so that they arrive.
-constexpr Duration kDeadlineMargin = milliseconds(15);
 // Under this, a request is not worth sending.
 constexpr Duration kLeastTime = milliseconds(30);
 // How long a connection to a target may take to open.
@@ -40,12 +39,6 @@
       static_cast<double>(d.count()) * x));
 }
 
-std::string_view HostName(const HttpHead& head) {
-  const std::string* host = head.Find("host");
-  if (host == nullptr) return {};
-  return std::string_view(*host).substr(0, host->find(':'));
-}
-
 // A target's head as the caller gets it.
 HttpHead ForCaller(const HttpHead& head) {
   HttpHead out;
@@ -74,62 +67,22 @@
   const auto self = shared_from_this();
   context_.requests.insert(self);
   caller_->OnGone([self] { self->OnCallerGone(); });
-  if (!Admit()) return;
-  const Duration left = deadline_ - context_.Now();
-  deadline_timer_ = context_.loop.After(std::max(left, Duration::zero()),
+  std::uniform_real_distribution<double> draw(0, 1);
+  const auto refused =
+      Admit({map_.get(), context_.callers, request_, draw(context_.random)},
+            admission_);
+  if (refused) return Refuse(*refused);
+  deadline_timer_ = context_.loop.After(std::max(Left(), Duration::zero()),
                                         [this] { OnDeadline(); });
-  context_.RetriesOf(service_->name).OnRequest(context_.Now());
+  context_.RetriesOf(admission_.service->name).OnRequest(context_.Now());
   Hold();
 }
 
-// --- Admission ---------------------------------------------------------------
-
-bool RelayedRequest::Admit() {
-  if (!map_) {
-    Refuse(RelayCause::kNoConfiguration);
-    return false;
-  }
-  auto facts = context_.callers.Read(request_.head);
-  if (!facts || facts->id.empty()) {
-    Refuse(RelayCause::kMalformed);
-    return false;
-  }
-  facts_ = std::move(facts.value());
-  route_ = map_->Match(HostName(request_.head), request_.head.Path());
-  if (route_ == nullptr) {
-    Refuse(RelayCause::kNoRoute);
-    return false;
-  }
-  if (!route_->open_to_all && map_->needs_keys()) {
-    const CustomerRule* customer = map_->FindKey(facts_.key);
-    if (customer == nullptr) {
-      Refuse(RelayCause::kUnknownKey);
-      return false;
-    }
-    customer_ = customer->name;
-    customer_priority_ = customer->priority;
-  }
-  std::uniform_real_distribution<double> draw(0, 1);
-  const ServiceName& name = PickService(*route_, draw(context_.random));
-  service_ = map_->FindService(name);
-  if (service_ == nullptr) {
-    Refuse(RelayCause::kNoTarget);
-    return false;
-  }
-  const auto time =
-      std::min(facts_.time_left.value_or(route_->timeout), route_->timeout);
-  deadline_ = request_.begun + time - kDeadlineMargin;
-  placement_.service = name;
-  if (service_->IsEngine()) {
-    worst_case_ = facts_.prompt_tokens + facts_.most_tokens_out;
-    placement_.parts = facts_.parts;
-    placement_.prompt_tokens = std::max<Tokens>(1, facts_.prompt_tokens);
-  }
-  return true;
-}
+// --- The budget --------------------------------------------------------------
 
 void RelayedRequest::Hold() {
-  if (worst_case_ == 0 || customer_.empty()) return Dispatch();
+  if (admission_.worst_case == 0 || admission_.customer.empty())
+    return Dispatch();
   switch (context_.budgets.Hold(shared_from_this())) {
     case PrepaidVerdict::kHeld:
       return OnHeld();
@@ -157,11 +110,14 @@
 
 // --- Attempts ----------------------------------------------------------------
 
-Duration RelayedRequest::Left() const { return deadline_ - context_.Now(); }
+Duration RelayedRequest::Left() const {
+  return admission_.deadline - context_.Now();
+}
 
 void RelayedRequest::Dispatch() {
   if (Left() < kLeastTime) return OnDeadline();
-  const auto choice = context_.placement.Choose(context_.Now(), placement_);
+  const auto choice =
+      context_.placement.Choose(context_.Now(), admission_.placement);
   if (choice) return Send(*choice);
   if (may_have_run_) return Fail(RelayCause::kTargetFailed);
   const RelayCause cause =
@@ -175,10 +131,10 @@
   cost_ms_ = choice.cost_ms;
   at_home_ = choice.is_home;
   ++sends_;
-  placement_.tried.insert(target.name);
+  admission_.placement.tried.insert(target.name);
   sent_at_ = context_.Now();
-  unread_ = context_.placement.OnSent(sent_at_, target.name, placement_,
-                                      choice.is_home);
+  unread_ = context_.placement.OnSent(sent_at_, target.name,
+                                      admission_.placement, choice.is_home);
   at_target_ = true;
   answering_ = false;
   not_run_ = false;
@@ -188,9 +144,10 @@
 
   SendFacts facts;
   facts.target = target.name;
-  facts.customer = customer_;
+  facts.customer = admission_.customer;
   facts.time_left = duration_cast<milliseconds>(Left());
-  facts.priority = customer_priority_ * kRouteLevels + route_->priority;
+  facts.priority =
+      admission_.customer_priority * kRouteLevels + admission_.route->priority;
   if (streaming_) facts.last_event = events_.last_id();
   TargetCall call;
   call.address = target.address;
@@ -208,9 +165,9 @@
 }
 
 Duration RelayedRequest::FirstPatience() const {
-  if (!route_->Repeatable()) return Left();
-  const bool stream = route_->kind == RouteKind::kStreaming;
-  return Scaled(route_->target_latency,
+  if (!admission_.route->Repeatable()) return Left();
+  const bool stream = admission_.route->kind == RouteKind::kStreaming;
+  return Scaled(admission_.route->target_latency,
                 stream ? kStreamPatience : kCallPatience);
 }
 
@@ -242,7 +199,7 @@
 
 bool RelayedRequest::OnHead(const HttpHead& head) {
   const AnswerFacts facts = context_.target_dialect.Read(head);
-  const bool ours = facts.request == facts_.id;
+  const bool ours = facts.request == admission_.facts.id;
   const bool silent = facts.request.empty();
   if (!ours && !(silent && facts.not_run)) return false;
   answer_ = head;
@@ -254,8 +211,8 @@
 void RelayedRequest::OnBody(std::string_view bytes) {
   const auto self = shared_from_this();
   if (ended_) return;
-  const bool stream = route_->kind == RouteKind::kStreaming && sound_ &&
-                      IsSuccess(answer_.status);
+  const bool stream = admission_.route->kind == RouteKind::kStreaming &&
+                      sound_ && IsSuccess(answer_.status);
   if (!stream) {
     body_.append(bytes);
     return;
@@ -281,9 +238,9 @@
   if (!streaming_) BeginStream();
   events_relayed_ += events.count;
   caller_->WriteChunk(events.bytes);
-  if (route_->Repeatable()) {
-    WatchAttempt(
-        std::max(kLeastGapPatience, Scaled(route_->target_gap, kGapPatience)));
+  if (admission_.route->Repeatable()) {
+    WatchAttempt(std::max(kLeastGapPatience,
+                          Scaled(admission_.route->target_gap, kGapPatience)));
   }
   if (paused_ || caller_->Unsent() <= kMostUnsent) return;
   paused_ = true;
@@ -292,7 +249,7 @@
 
 void RelayedRequest::BeginStream() {
   streaming_ = true;
-  context_.metrics.ObserveFirstByte(customer_, route_->kind,
+  context_.metrics.ObserveFirstByte(admission_.customer, admission_.route->kind,
                                     context_.Now() - request_.begun);
   caller_->StartStream(ForCaller(answer_));
   patience_timer_.reset();
@@ -355,7 +312,8 @@
 bool RelayedRequest::MaySendAgain(Ran ran) const {
   if (caller_gone_ || Left() < kLeastTime || sends_ >= kMostSends) return false;
   if (ran == Ran::kNo) return true;
-  return route_->Repeatable() && sends_ < route_->max_attempts;
+  return admission_.route->Repeatable() &&
+         sends_ < admission_.route->max_attempts;
 }
 
 // Counts a retry if the request may be sent again and a target is there.
@@ -363,8 +321,8 @@
   const Instant now = context_.Now();
   const bool possible =
       MaySendAgain(ran) &&
-      context_.placement.Choose(now, placement_).has_value() &&
-      context_.RetriesOf(service_->name).TryRetry(now);
+      context_.placement.Choose(now, admission_.placement).has_value() &&
+      context_.RetriesOf(admission_.service->name).TryRetry(now);
   if (possible) context_.metrics.CountRetry();
   return possible;
 }
@@ -372,7 +330,7 @@
 void RelayedRequest::LogAttempt(Ran ran) const {
   LogEvent(
       Event::kAttemptEnded,
-      {{"request", facts_.id.value},
+      {{"request", admission_.facts.id.value},
        {"target", target_.name.value},
        {"ran", std::string(NameOf(ran))},
        {"status", std::to_string(answer_.status)},
@@ -418,8 +376,8 @@
   if (ended_) return;
   caller_gone_ = true;
   if (waits_for_budget_) context_.budgets.Forget(self);
-  const bool may_stop =
-      route_ == nullptr || route_->kind != RouteKind::kNonIdempotent;
+  const bool may_stop = admission_.route == nullptr ||
+                        admission_.route->kind != RouteKind::kNonIdempotent;
   // A call that must not be repeated is left to end by itself.
   if (call_ && !may_stop && call_->sent()) return;
   may_have_run_ = may_have_run_ || (call_ && call_->sent());
@@ -449,8 +407,8 @@
 Tokens RelayedRequest::Cost() const {
   if (!held_) return 0;
   const Ran ran = may_have_run_ || streaming_ ? Ran::kUnknown : Ran::kNo;
-  return CostOf({ran, worst_case_, facts_.prompt_tokens, events_relayed_,
-                 service_->event_tokens});
+  return CostOf({ran, admission_.worst_case, admission_.facts.prompt_tokens,
+                 events_relayed_, admission_.service->event_tokens});
 }
 
 void RelayedRequest::End(RelayCause cause, int status) {
@@ -460,23 +418,24 @@
   patience_timer_.reset();
   if (held_) context_.budgets.Settle(*this, Cost());
   const Duration took = context_.Now() - request_.begun;
-  context_.metrics.CountEnd(customer_, NameOf(cause), took);
-  LogEvent(Event::kRelayEnded,
-           {{"request", facts_.id.value},
-            {"route", route_ == nullptr ? "" : route_->name},
-            {"customer", customer_.value},
-            {"cause", std::string(NameOf(cause))},
-            {"status", std::to_string(status)},
-            {"target", target_.name.value},
-            {"sends", std::to_string(sends_)},
-            {"home", at_home_ ? "yes" : "no"},
-            {"expected_ms", std::to_string(std::lround(cost_ms_))},
-            {"first_ms", std::to_string(first_ms_)},
-            {"events", std::to_string(events_relayed_)},
-            {"held", std::to_string(worst_case_)},
-            {"cost", std::to_string(Cost())},
-            {"config", std::to_string(map_ ? map_->version() : 0)},
-            {"ms", std::to_string(duration_cast<milliseconds>(took).count())}});
+  context_.metrics.CountEnd(admission_.customer, NameOf(cause), took);
+  LogEvent(
+      Event::kRelayEnded,
+      {{"request", admission_.facts.id.value},
+       {"route", admission_.route == nullptr ? "" : admission_.route->name},
+       {"customer", admission_.customer.value},
+       {"cause", std::string(NameOf(cause))},
+       {"status", std::to_string(status)},
+       {"target", target_.name.value},
+       {"sends", std::to_string(sends_)},
+       {"home", at_home_ ? "yes" : "no"},
+       {"expected_ms", std::to_string(std::lround(cost_ms_))},
+       {"first_ms", std::to_string(first_ms_)},
+       {"events", std::to_string(events_relayed_)},
+       {"held", std::to_string(admission_.worst_case)},
+       {"cost", std::to_string(Cost())},
+       {"config", std::to_string(map_ ? map_->version() : 0)},
+       {"ms", std::to_string(duration_cast<milliseconds>(took).count())}});
   context_.loop.Post(
       [this, self = shared_from_this()] { context_.requests.erase(self); });
 }
--- a/relay/relayed_request.h
+++ b/relay/relayed_request.h
@@ -21,6 +21,7 @@
 
 #include "http/caller_connection.h"
 #include "http/target_connection.h"
+#include "relay/admission.h"
 #include "relay/events.h"
 #include "relay/final_answer.h"
 #include "relay/hold_waiter.h"
@@ -41,12 +42,11 @@
   void OnHeld() override;
   void OnHoldRefused(bool exhausted) override;
 
-  const RequestId& id() const override { return facts_.id; }
-  const CustomerName& customer() const override { return customer_; }
-  Tokens worst_case() const override { return worst_case_; }
+  const RequestId& id() const override { return admission_.facts.id; }
+  const CustomerName& customer() const override { return admission_.customer; }
+  Tokens worst_case() const override { return admission_.worst_case; }
 
  private:
-  bool Admit();
   void Hold();
   void Dispatch();
   void Send(const PlacementChoice& choice);
@@ -80,20 +80,13 @@
   std::shared_ptr<CallerConnection> caller_;
   CallerRequest request_;
   ServiceMapPtr map_;
-  RequestFacts facts_;
-  const RouteRule* route_ = nullptr;
-  const ServiceRule* service_ = nullptr;
-  CustomerName customer_;
-  int customer_priority_ = 0;
-  Instant deadline_{};
+  Admission admission_;
   std::unique_ptr<Timer> deadline_timer_;
   std::unique_ptr<Timer> patience_timer_;
 
-  Tokens worst_case_ = 0;
   bool held_ = false;
   bool waits_for_budget_ = false;
 
-  PlacementRequest placement_;
   TargetEntry target_;
   std::shared_ptr<CallHandle> call_;
   Tokens unread_ = 0;
--- /dev/null
+++ b/relay/testing/admission_test.cc
@@ -0,0 +1,159 @@
+// Which requests are admitted, under which deadline, and why others are not.
+
+#include "relay/admission.h"
+
+#include <boost/test/unit_test.hpp>
+
+namespace quaytrack {
+namespace {
+
+namespace leaf = boost::leaf;
+using std::chrono::milliseconds;
+
+// Reads every head as the same facts, or none.
+class FixedDialect : public CallerDialect {
+ public:
+  leaf::result<RequestFacts> Read(const HttpHead&) const override {
+    if (unreadable) return leaf::new_error(HeaderError{"usage"});
+    return facts;
+  }
+
+  RequestFacts facts;
+  bool unreadable = false;
+};
+
+RouteRule Route(const char* name, const char* prefix, const char* service) {
+  RouteRule out;
+  out.name = name;
+  out.host = "api.example";
+  out.path_prefix = prefix;
+  out.timeout = milliseconds(4000);
+  out.services = {{ServiceName(service), 1}};
+  return out;
+}
+
+ServiceMap Map() {
+  RouteRule open = Route("open", "/open/", "desk");
+  open.open_to_all = true;
+  RouteRule split = Route("split", "/split/", "llm");
+  split.services.push_back({ServiceName("desk"), 3});
+  ServiceRule llm;
+  llm.name = ServiceName("llm");
+  llm.engine_slots = 8;
+  ServiceRule desk;
+  desk.name = ServiceName("desk");
+  CustomerRule customer;
+  customer.name = CustomerName("lakhon");
+  customer.keys = {"key-a"};
+  customer.priority = 2;
+  return ServiceMap(7,
+                    {Route("stream", "/stream/", "llm"), open, split,
+                     Route("lost", "/lost/", "nowhere")},
+                    {llm, desk}, {customer}, {});
+}
+
+struct Fixture {
+  Fixture() : map(Map()) {
+    request.begun = Instant(std::chrono::seconds(100));
+    request.head.headers = {{"Host", "api.example:8080"}};
+    dialect.facts.id = RequestId("r-1");
+    dialect.facts.key = "key-a";
+    dialect.facts.prompt_tokens = 100;
+    dialect.facts.most_tokens_out = 30;
+    dialect.facts.parts = {{1, 60}, {2, 40}};
+  }
+
+  std::optional<RelayCause> AdmitTo(const std::string& target,
+                                    double draw = 0) {
+    request.head.target = target;
+    admission = {};
+    return Admit({&map, dialect, request, draw}, admission);
+  }
+  Duration Time() const { return admission.deadline - request.begun; }
+
+  const ServiceMap map;
+  FixedDialect dialect;
+  CallerRequest request;
+  Admission admission;
+};
+
+BOOST_FIXTURE_TEST_CASE(AnEngineRequestIsAdmittedWithItsWorstCase, Fixture) {
+  BOOST_TEST(!AdmitTo("/stream/x?y=1"));
+  BOOST_TEST(admission.route->name == "stream");
+  BOOST_TEST(admission.service->name.value == "llm");
+  BOOST_TEST(admission.customer.value == "lakhon");
+  BOOST_TEST(admission.customer_priority == 2);
+  BOOST_TEST(admission.worst_case == 130);
+  BOOST_TEST(admission.placement.service.value == "llm");
+  BOOST_TEST(admission.placement.prompt_tokens == 100);
+  BOOST_TEST(admission.placement.parts.size() == 2U);
+}
+
+BOOST_FIXTURE_TEST_CASE(APlainServiceDrawsOnNoBudget, Fixture) {
+  BOOST_TEST(!AdmitTo("/open/x"));
+  BOOST_TEST(admission.worst_case == 0);
+  BOOST_TEST(!admission.placement.ForEngine());
+  // No key was needed, so none was looked at.
+  BOOST_TEST(admission.customer.empty());
+}
+
+// An engine's request that names no prompt is still placed as one.
+BOOST_FIXTURE_TEST_CASE(AnEngineRequestIsPlacedAsSuchWithoutTokens, Fixture) {
+  dialect.facts.prompt_tokens = 0;
+  dialect.facts.most_tokens_out = 0;
+  BOOST_TEST(!AdmitTo("/stream/x"));
+  BOOST_TEST(admission.worst_case == 0);
+  BOOST_TEST(admission.placement.ForEngine());
+}
+
+BOOST_FIXTURE_TEST_CASE(TheDrawChoosesAmongARoutesServices, Fixture) {
+  BOOST_TEST(!AdmitTo("/split/x", 0.1));
+  BOOST_TEST(admission.service->name.value == "llm");
+  BOOST_TEST(!AdmitTo("/split/x", 0.9));
+  BOOST_TEST(admission.service->name.value == "desk");
+}
+
+BOOST_FIXTURE_TEST_CASE(TheDeadlineIsTheShorterLimitLessAMargin, Fixture) {
+  AdmitTo("/open/x");
+  BOOST_TEST((Time() == milliseconds(3985)));
+  dialect.facts.time_left = milliseconds(600);
+  AdmitTo("/open/x");
+  BOOST_TEST((Time() == milliseconds(585)));
+  dialect.facts.time_left = milliseconds(9000);
+  AdmitTo("/open/x");
+  BOOST_TEST((Time() == milliseconds(3985)));
+}
+
+BOOST_FIXTURE_TEST_CASE(WhatIsRefusedHasItsCause, Fixture) {
+  const auto refused = [&](const std::string& target, RelayCause cause) {
+    return AdmitTo(target) == cause;
+  };
+  BOOST_TEST(refused("/elsewhere/x", RelayCause::kNoRoute));
+  BOOST_TEST(admission.facts.id.value == "r-1");
+  BOOST_TEST(refused("/lost/x", RelayCause::kNoTarget));
+  BOOST_TEST(admission.route->name == "lost");
+  dialect.facts.key = "key-b";
+  BOOST_TEST(refused("/stream/x", RelayCause::kUnknownKey));
+  BOOST_TEST(admission.route->name == "stream");
+  BOOST_TEST(admission.customer.empty());
+  BOOST_TEST(!AdmitTo("/open/x"));
+  dialect.facts.id = {};
+  BOOST_TEST(refused("/open/x", RelayCause::kMalformed));
+  dialect.unreadable = true;
+  BOOST_TEST(refused("/open/x", RelayCause::kMalformed));
+}
+
+BOOST_FIXTURE_TEST_CASE(ForAnotherHostThereIsNoRoute, Fixture) {
+  request.head.headers = {{"Host", "other.example"}};
+  BOOST_TEST((AdmitTo("/open/x") == RelayCause::kNoRoute));
+  request.head.headers.clear();
+  BOOST_TEST((AdmitTo("/open/x") == RelayCause::kNoRoute));
+}
+
+BOOST_FIXTURE_TEST_CASE(WithoutAConfigurationNothingIsAdmitted, Fixture) {
+  const auto refused = Admit({nullptr, dialect, request, 0}, admission);
+  BOOST_TEST((refused == RelayCause::kNoConfiguration));
+}
+
+}  // namespace
+}  // namespace quaytrack
