--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -17,42 +17,14 @@
 
 // Under this, a request is not worth sending.
 constexpr Duration kLeastTime = milliseconds(30);
-// How long a connection to a target may take to open.
-constexpr Duration kConnectPatience = milliseconds(250);
 // A caller that takes less than it is sent is buffered up to this; then reading
 // from the target stops until it has drained.
 constexpr std::size_t kMostUnsent = 64 * 1024;
 // Sends of one request, turned away ones included.
 constexpr int kMostSends = 3;
-// A stream that pauses for this many times the longest pause that is in time
-// goes on elsewhere.
-constexpr double kGapPatience = 2.5;
-constexpr Duration kLeastGapPatience = milliseconds(1000);
-// An attempt's first byte, in parts of the time that is in time.
-constexpr double kStreamPatience = 2.6;
-constexpr double kCallPatience = 0.8;
 // Urgency levels of routes below one of customers.
 constexpr int kRouteLevels = 3;
 
-Duration Scaled(milliseconds d, double x) {
-  return duration_cast<Duration>(std::chrono::duration<double, std::milli>(
-      static_cast<double>(d.count()) * x));
-}
-
-// A target's head as the caller gets it.
-HttpHead ForCaller(const HttpHead& head) {
-  HttpHead out;
-  out.status = head.status;
-  out.reason = head.reason;
-  for (const HttpHeader& it : head.headers) {
-    if (!IsHopHeader(head, it.name)) out.headers.push_back(it);
-  }
-  return out;
-}
-
-bool IsSuccess(int status) { return status >= 200 && status < 300; }
-bool IsServerError(int status) { return status >= 500; }
-
 }  // namespace
 
 RelayedRequest::RelayedRequest(RelayContext& context,
@@ -137,8 +109,7 @@
                                       admission_.placement, choice.is_home);
   at_target_ = true;
   answering_ = false;
-  not_run_ = false;
-  sound_ = false;
+  answer_facts_ = {};
   body_.clear();
   events_.DropPartial();
 
@@ -160,15 +131,9 @@
   on.body = [self](std::string_view bytes) { self->OnBody(bytes); };
   on.end = [self](CallEnd end) { self->OnCallEnd(end); };
   call_ = context_.targets.Start(call, std::move(on));
-  WatchAttempt(call_->connecting() ? std::min(kConnectPatience, FirstPatience())
-                                   : FirstPatience());
-}
-
-Duration RelayedRequest::FirstPatience() const {
-  if (!admission_.route->Repeatable()) return Left();
-  const bool stream = admission_.route->kind == RouteKind::kStreaming;
-  return Scaled(admission_.route->target_latency,
-                stream ? kStreamPatience : kCallPatience);
+  const RouteRule& route = *admission_.route;
+  WatchAttempt(call_->connecting() ? ConnectPatience(route, Left())
+                                   : FirstAnswerPatience(route, Left()));
 }
 
 void RelayedRequest::WatchAttempt(Duration patience) {
@@ -184,9 +149,8 @@
     return OnAttemptEnded(Ran::kNo, PlacementOutcome::kFailed);
   }
   const Duration waited = context_.Now() - sent_at_;
-  if (!answering_ && waited < FirstPatience()) {
-    return WatchAttempt(FirstPatience() - waited);
-  }
+  const Duration patience = FirstAnswerPatience(*admission_.route, Left());
+  if (!answering_ && waited < patience) return WatchAttempt(patience - waited);
   // Not stopped for nothing: only if it may be sent to another target.
   if (!TakeRetry(Ran::kUnknown)) return;
   call_->Cancel();
@@ -199,25 +163,20 @@
 
 bool RelayedRequest::OnHead(const HttpHead& head) {
   const AnswerFacts facts = context_.target_dialect.Read(head);
-  const bool ours = facts.request == admission_.facts.id;
-  const bool silent = facts.request.empty();
-  if (!ours && !(silent && facts.not_run)) return false;
+  if (!AnswersRequest(facts, id())) return false;
   answer_ = head;
-  not_run_ = facts.not_run;
-  sound_ = facts.sealed || !IsSuccess(head.status);
+  answer_facts_ = facts;
   return true;
 }
 
 void RelayedRequest::OnBody(std::string_view bytes) {
   const auto self = shared_from_this();
   if (ended_) return;
-  const bool stream = admission_.route->kind == RouteKind::kStreaming &&
-                      sound_ && IsSuccess(answer_.status);
-  if (!stream) {
-    body_.append(bytes);
-    return;
+  if (IsPassedOnByEvent(admission_.route->kind, answer_.status,
+                        answer_facts_.sealed)) {
+    return RelayEvents(bytes);
   }
-  RelayEvents(bytes);
+  body_.append(bytes);
 }
 
 void RelayedRequest::RelayEvents(std::string_view bytes) {
@@ -238,10 +197,8 @@
   if (!streaming_) BeginStream();
   events_relayed_ += events.count;
   caller_->WriteChunk(events.bytes);
-  if (admission_.route->Repeatable()) {
-    WatchAttempt(std::max(kLeastGapPatience,
-                          Scaled(admission_.route->target_gap, kGapPatience)));
-  }
+  const RouteRule& route = *admission_.route;
+  if (route.Repeatable()) WatchAttempt(NextEventPatience(route));
   if (paused_ || caller_->Unsent() <= kMostUnsent) return;
   paused_ = true;
   call_->PauseReading();
@@ -251,7 +208,7 @@
   streaming_ = true;
   context_.metrics.ObserveFirstByte(admission_.customer, admission_.route->kind,
                                     context_.Now() - request_.begun);
-  caller_->StartStream(ForCaller(answer_));
+  caller_->StartStream(HeadForCaller(answer_));
   patience_timer_.reset();
   caller_->OnDrained([self = shared_from_this()] {
     if (!self->paused_) return;
@@ -264,38 +221,19 @@
   const auto self = shared_from_this();
   call_.reset();
   if (ended_) return;
-  if (end == CallEnd::kNotSent) {
-    return OnAttemptEnded(Ran::kNo, PlacementOutcome::kFailed);
-  }
-  if (end == CallEnd::kBroken) {
-    return OnAttemptEnded(Ran::kUnknown, PlacementOutcome::kFailed);
-  }
-  if (not_run_) {
-    return OnAttemptEnded(Ran::kNo, PlacementOutcome::kTurnedAway);
-  }
-  const bool whole = sound_ && !events_.InEvent();
-  if (!whole) {
-    return OnAttemptEnded(Ran::kUnknown, PlacementOutcome::kFailed);
-  }
-  OnWhole();
-}
-
-void RelayedRequest::OnWhole() {
-  if (streaming_ && IsSuccess(answer_.status)) {
-    caller_->EndStream();
-    ReleaseTarget(PlacementOutcome::kGood);
-    return End(RelayCause::kServed, answer_.status);
-  }
-  if (streaming_) {
-    return OnAttemptEnded(Ran::kUnknown, PlacementOutcome::kFailed);
-  }
+  const AttemptVerdict verdict = JudgeAttempt(
+      {end, answer_facts_, answer_.status, events_.InEvent(), streaming_});
   const bool error = IsServerError(answer_.status);
-  if (error && MaySendAgain(Ran::kUnknown)) {
-    return OnAttemptEnded(Ran::kUnknown, PlacementOutcome::kNeutral);
+  if (!verdict.answered || (error && MaySendAgain(verdict.ran))) {
+    return OnAttemptEnded(verdict.ran, verdict.outcome);
   }
   may_have_run_ = true;
-  if (!caller_gone_) caller_->Reply(ForCaller(answer_), body_);
-  ReleaseTarget(error ? PlacementOutcome::kNeutral : PlacementOutcome::kGood);
+  if (streaming_) {
+    caller_->EndStream();
+  } else if (!caller_gone_) {
+    caller_->Reply(HeadForCaller(answer_), body_);
+  }
+  ReleaseTarget(verdict.outcome);
   End(IsSuccess(answer_.status) ? RelayCause::kServed
                                 : RelayCause::kTargetError,
       answer_.status);
--- a/relay/relayed_request.h
+++ b/relay/relayed_request.h
@@ -22,6 +22,7 @@
 #include "http/caller_connection.h"
 #include "http/target_connection.h"
 #include "relay/admission.h"
+#include "relay/attempt.h"
 #include "relay/events.h"
 #include "relay/final_answer.h"
 #include "relay/hold_waiter.h"
@@ -51,14 +52,12 @@
   void Dispatch();
   void Send(const PlacementChoice& choice);
   void WatchAttempt(Duration patience);
-  Duration FirstPatience() const;
 
   bool OnHead(const HttpHead& head);
   void OnBody(std::string_view bytes);
   void RelayEvents(std::string_view bytes);
   void BeginStream();
   void OnCallEnd(CallEnd end);
-  void OnWhole();
   void OnPatienceOver();
   void OnAttemptEnded(Ran ran, PlacementOutcome outcome);
   bool MaySendAgain(Ran ran) const;
@@ -104,8 +103,8 @@
 
   HttpHead answer_;
   std::string body_;
-  bool not_run_ = false;
-  bool sound_ = false;
+  // What this attempt's answer says; empty until its head has come.
+  AnswerFacts answer_facts_;
   EventReader events_;
   int events_relayed_ = 0;
   bool streaming_ = false;
--- /dev/null
+++ b/relay/testing/attempt_test.cc
@@ -0,0 +1,176 @@
+// How long an attempt may take, and what its end means.
+
+#include "relay/attempt.h"
+
+#include <boost/test/unit_test.hpp>
+
+namespace quaytrack {
+namespace {
+
+using std::chrono::milliseconds;
+
+RouteRule Route(RouteKind kind) {
+  RouteRule out;
+  out.kind = kind;
+  out.target_latency = milliseconds(1000);
+  out.target_gap = milliseconds(800);
+  return out;
+}
+
+RouteRule Resumable() {
+  RouteRule out = Route(RouteKind::kStreaming);
+  out.resumable = true;
+  return out;
+}
+
+constexpr Duration kLeft = milliseconds(5000);
+
+BOOST_AUTO_TEST_CASE(WhatMayBeRepeatedIsWaitedForInPartsOfItsObjective) {
+  BOOST_TEST((FirstAnswerPatience(Route(RouteKind::kIdempotent), kLeft) ==
+              milliseconds(800)));
+  BOOST_TEST((FirstAnswerPatience(Resumable(), kLeft) == milliseconds(2600)));
+}
+
+BOOST_AUTO_TEST_CASE(WhatMustNotBeRepeatedIsWaitedForUntilItsDeadline) {
+  BOOST_TEST(
+      (FirstAnswerPatience(Route(RouteKind::kNonIdempotent), kLeft) == kLeft));
+  BOOST_TEST(
+      (FirstAnswerPatience(Route(RouteKind::kStreaming), kLeft) == kLeft));
+}
+
+BOOST_AUTO_TEST_CASE(AConnectionHasLessTimeThanItsAnswer) {
+  const RouteRule once = Route(RouteKind::kNonIdempotent);
+  BOOST_TEST((ConnectPatience(once, kLeft) == milliseconds(250)));
+  BOOST_TEST((ConnectPatience(once, milliseconds(90)) == milliseconds(90)));
+}
+
+BOOST_AUTO_TEST_CASE(APauseIsWaitedForInPartsOfTheLongestOne) {
+  RouteRule route = Resumable();
+  BOOST_TEST((NextEventPatience(route) == milliseconds(2000)));
+  route.target_gap = milliseconds(100);
+  BOOST_TEST((NextEventPatience(route) == milliseconds(1000)));
+}
+
+BOOST_AUTO_TEST_CASE(OnlyTheAnswerToThisRequestIsWaitedFor) {
+  const RequestId id("r-1");
+  AnswerFacts answer;
+  answer.request = id;
+  BOOST_TEST(AnswersRequest(answer, id));
+  answer.request = RequestId("r-2");
+  BOOST_TEST(!AnswersRequest(answer, id));
+  // Not even to say that it has not run.
+  answer.not_run = true;
+  BOOST_TEST(!AnswersRequest(answer, id));
+  // Without an id, it counts only if it says so.
+  answer.request = {};
+  BOOST_TEST(AnswersRequest(answer, id));
+  answer.not_run = false;
+  BOOST_TEST(!AnswersRequest(answer, id));
+}
+
+BOOST_AUTO_TEST_CASE(ASuccessNeedsItsSealAndAnErrorDoesNot) {
+  BOOST_TEST(MayPassOn(200, true));
+  BOOST_TEST(!MayPassOn(200, false));
+  BOOST_TEST(!MayPassOn(299, false));
+  BOOST_TEST(MayPassOn(300, false));
+  BOOST_TEST(MayPassOn(404, false));
+  BOOST_TEST(MayPassOn(500, false));
+}
+
+BOOST_AUTO_TEST_CASE(OnlySealedSuccessesOfStreamsArePassedOnByEvent) {
+  BOOST_TEST(IsPassedOnByEvent(RouteKind::kStreaming, 200, true));
+  BOOST_TEST(!IsPassedOnByEvent(RouteKind::kStreaming, 200, false));
+  BOOST_TEST(!IsPassedOnByEvent(RouteKind::kStreaming, 503, true));
+  BOOST_TEST(!IsPassedOnByEvent(RouteKind::kIdempotent, 200, true));
+}
+
+BOOST_AUTO_TEST_CASE(HeadersOfOneConnectionArentPassedOn) {
+  HttpHead head;
+  head.status = 201;
+  head.reason = "Made";
+  head.headers = {{"Connection", "x-private"},
+                  {"X-Private", "1"},
+                  {"Transfer-Encoding", "chunked"},
+                  {"X-Public", "2"}};
+  const HttpHead out = HeadForCaller(head);
+  BOOST_TEST(out.status == 201);
+  BOOST_TEST(out.reason == "Made");
+  BOOST_REQUIRE(out.headers.size() == 1U);
+  BOOST_TEST(out.headers[0].name == "X-Public");
+}
+
+struct Judged {
+  const char* what;
+  AttemptFacts facts;
+  bool answered;
+  Ran ran;
+  PlacementOutcome outcome;
+};
+
+AttemptFacts Facts(CallEnd end, int status, bool sealed = true) {
+  AttemptFacts out;
+  out.end = end;
+  out.status = status;
+  out.answer.sealed = sealed;
+  return out;
+}
+
+AttemptFacts NotRun(CallEnd end) {
+  AttemptFacts out = Facts(end, 503, false);
+  out.answer.not_run = true;
+  return out;
+}
+
+AttemptFacts InEvent() {
+  AttemptFacts out = Facts(CallEnd::kComplete, 200);
+  out.in_event = true;
+  return out;
+}
+
+AttemptFacts Streaming(int status) {
+  AttemptFacts out = Facts(CallEnd::kComplete, status);
+  out.streaming = true;
+  return out;
+}
+
+const Judged kJudged[] = {
+    {"not sent", Facts(CallEnd::kNotSent, 0, false), false, Ran::kNo,
+     PlacementOutcome::kFailed},
+    {"broken before an answer", Facts(CallEnd::kBroken, 0, false), false,
+     Ran::kUnknown, PlacementOutcome::kFailed},
+    {"broken in an answer", Facts(CallEnd::kBroken, 200), false, Ran::kUnknown,
+     PlacementOutcome::kFailed},
+    // The statement that nothing ran has to be whole as well.
+    {"broken in a refusal", NotRun(CallEnd::kBroken), false, Ran::kUnknown,
+     PlacementOutcome::kFailed},
+    {"turned away", NotRun(CallEnd::kComplete), false, Ran::kNo,
+     PlacementOutcome::kTurnedAway},
+    {"without a seal", Facts(CallEnd::kComplete, 200, false), false,
+     Ran::kUnknown, PlacementOutcome::kFailed},
+    {"ended in an event", InEvent(), false, Ran::kUnknown,
+     PlacementOutcome::kFailed},
+    {"an error in a stream", Streaming(500), false, Ran::kUnknown,
+     PlacementOutcome::kFailed},
+    {"the end of a stream", Streaming(200), true, Ran::kUnknown,
+     PlacementOutcome::kGood},
+    {"a whole answer", Facts(CallEnd::kComplete, 200), true, Ran::kUnknown,
+     PlacementOutcome::kGood},
+    {"a caller's error", Facts(CallEnd::kComplete, 404, false), true,
+     Ran::kUnknown, PlacementOutcome::kGood},
+    {"a server's error", Facts(CallEnd::kComplete, 500, false), true,
+     Ran::kUnknown, PlacementOutcome::kNeutral},
+};
+
+BOOST_AUTO_TEST_CASE(EachEndHasItsMeaning) {
+  for (const Judged& it : kJudged) {
+    const AttemptVerdict verdict = JudgeAttempt(it.facts);
+    BOOST_TEST_CONTEXT(it.what) {
+      BOOST_TEST(verdict.answered == it.answered);
+      BOOST_TEST(NameOf(verdict.ran) == NameOf(it.ran));
+      BOOST_TEST((verdict.outcome == it.outcome));
+    }
+  }
+}
+
+}  // namespace
+}  // namespace quaytrack
