--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -94,6 +94,7 @@
                   TellPeer(peer, std::move(message));
                 }}),
       peers_(loop, clock, self_, PeerHandlers()),
+      retries_(RetryOptions(settings)),
       context_{loop,
                clock,
                connections,
@@ -102,7 +103,7 @@
                placement_,
                budgets_,
                metrics_,
-               RetryOptions(settings)},
+               retries_},
       caller_server_(loop, clock),
       admin_server_(loop, clock),
       metrics_server_(loop, clock),
@@ -203,7 +204,7 @@
 
 void RelayRouter::OnFleetChanged() {
   const FleetDirectory& directory = fleet_.directory();
-  context_.routers = directory.size();
+  retries_.SetRouters(directory.size());
   peers_.SetDialled(directory.Linked());
   if (fleet_.settled()) budgets_.TakePartIfHolder();
 }
--- a/relay/relay_router.h
+++ b/relay/relay_router.h
@@ -20,6 +20,7 @@
 #include "relay/relay_context.h"
 #include "relay/relay_metrics.h"
 #include "relay/relay_settings.h"
+#include "relay/retry.h"
 
 namespace quaytrack {
 
@@ -70,6 +71,7 @@
   BudgetDriver budgets_;
   ConfigDriver configs_;
   PeerMesh peers_;
+  RetryShares retries_;
   RelayContext context_;
   CallerServer caller_server_;
   CallerServer admin_server_;
--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -15,13 +15,9 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-// Under this, a request is not worth sending.
-constexpr Duration kLeastTime = milliseconds(30);
 // A caller that takes less than it is sent is buffered up to this; then reading
 // from the target stops until it has drained.
 constexpr std::size_t kMostUnsent = 64 * 1024;
-// Sends of one request, turned away ones included.
-constexpr int kMostSends = 3;
 // Urgency levels of routes below one of customers.
 constexpr int kRouteLevels = 3;
 
@@ -46,7 +42,7 @@
   if (refused) return Refuse(*refused);
   deadline_timer_ = context_.loop.After(std::max(Left(), Duration::zero()),
                                         [this] { OnDeadline(); });
-  context_.RetriesOf(admission_.service->name).OnRequest(context_.Now());
+  context_.retries.OnRequest(context_.Now(), admission_.service->name);
   Hold();
 }
 
@@ -87,7 +83,7 @@
 }
 
 void RelayedRequest::Dispatch() {
-  if (Left() < kLeastTime) return OnDeadline();
+  if (Left() < kLeastTimeToSend) return OnDeadline();
   const auto choice =
       context_.placement.Choose(context_.Now(), admission_.placement);
   if (choice) return Send(*choice);
@@ -224,7 +220,8 @@
   const AttemptVerdict verdict = JudgeAttempt(
       {end, answer_facts_, answer_.status, events_.InEvent(), streaming_});
   const bool error = IsServerError(answer_.status);
-  if (!verdict.answered || (error && MaySendAgain(verdict.ran))) {
+  if (!verdict.answered ||
+      (error && MaySendAgain(FactsForRetry(verdict.ran)))) {
     return OnAttemptEnded(verdict.ran, verdict.outcome);
   }
   may_have_run_ = true;
@@ -247,22 +244,24 @@
   unread_ = 0;
 }
 
-bool RelayedRequest::MaySendAgain(Ran ran) const {
-  if (caller_gone_ || Left() < kLeastTime || sends_ >= kMostSends) return false;
-  if (ran == Ran::kNo) return true;
-  return admission_.route->Repeatable() &&
-         sends_ < admission_.route->max_attempts;
+RetryFacts RelayedRequest::FactsForRetry(Ran ran) const {
+  const RouteRule& route = *admission_.route;
+  RetryFacts out;
+  out.ran = ran;
+  out.caller_gone = caller_gone_;
+  out.left = Left();
+  out.sends = sends_;
+  out.repeatable = route.Repeatable();
+  out.max_attempts = route.max_attempts;
+  return out;
 }
 
-// Counts a retry if the request may be sent again and a target is there.
 bool RelayedRequest::TakeRetry(Ran ran) {
-  const Instant now = context_.Now();
-  const bool possible =
-      MaySendAgain(ran) &&
-      context_.placement.Choose(now, admission_.placement).has_value() &&
-      context_.RetriesOf(admission_.service->name).TryRetry(now);
-  if (possible) context_.metrics.CountRetry();
-  return possible;
+  const bool taken =
+      context_.retries.TakeRetry(context_.Now(), FactsForRetry(ran),
+                                 context_.placement, admission_.placement);
+  if (taken) context_.metrics.CountRetry();
+  return taken;
 }
 
 void RelayedRequest::LogAttempt(Ran ran) const {
--- a/relay/relayed_request.h
+++ b/relay/relayed_request.h
@@ -28,6 +28,7 @@
 #include "relay/hold_waiter.h"
 #include "relay/ran.h"
 #include "relay/relay_context.h"
+#include "relay/retry.h"
 
 namespace quaytrack {
 
@@ -60,7 +61,7 @@
   void OnCallEnd(CallEnd end);
   void OnPatienceOver();
   void OnAttemptEnded(Ran ran, PlacementOutcome outcome);
-  bool MaySendAgain(Ran ran) const;
+  RetryFacts FactsForRetry(Ran ran) const;
   bool TakeRetry(Ran ran);
   void LogAttempt(Ran ran) const;
   void ReleaseTarget(PlacementOutcome outcome);
--- /dev/null
+++ b/relay/retry.cc
@@ -0,0 +1,27 @@
+#include "relay/retry.h"
+
+namespace quaytrack {
+
+bool MaySendAgain(const RetryFacts& facts) {
+  if (facts.caller_gone) return false;
+  if (facts.left < kLeastTimeToSend) return false;
+  if (facts.sends >= kMostSends) return false;
+  if (facts.ran == Ran::kNo) return true;
+  return facts.repeatable && facts.sends < facts.max_attempts;
+}
+
+bool RetryShares::TakeRetry(Instant now, const RetryFacts& facts,
+                            const Placement& placement,
+                            const PlacementRequest& request) {
+  if (!MaySendAgain(facts)) return false;
+  if (!placement.Choose(now, request)) return false;
+  return ShareOf(request.service).TryRetry(now);
+}
+
+RetryShare& RetryShares::ShareOf(const ServiceName& service) {
+  RetryShare& out = shares_.try_emplace(service, options_).first->second;
+  out.SetRouters(routers_);
+  return out;
+}
+
+}  // namespace quaytrack
--- /dev/null
+++ b/relay/testing/retry_test.cc
@@ -0,0 +1,159 @@
+// Whether a request is sent to another target.
+
+#include "relay/retry.h"
+
+#include <boost/test/unit_test.hpp>
+
+namespace quaytrack {
+namespace {
+
+using std::chrono::milliseconds;
+
+const ServiceName kService{"desk"};
+const Instant kNow{std::chrono::seconds(100)};
+
+// One that has failed once and may be repeated.
+RetryFacts Facts(Ran ran) {
+  RetryFacts out;
+  out.ran = ran;
+  out.left = milliseconds(2000);
+  out.sends = 1;
+  out.repeatable = true;
+  out.max_attempts = 2;
+  return out;
+}
+
+BOOST_AUTO_TEST_CASE(WhatMayHaveRunIsSentAgainOnlyIfItMayBeRepeated) {
+  RetryFacts facts = Facts(Ran::kUnknown);
+  BOOST_TEST(MaySendAgain(facts));
+  facts.repeatable = false;
+  BOOST_TEST(!MaySendAgain(facts));
+  // However many targets the route allows.
+  facts.max_attempts = 9;
+  BOOST_TEST(!MaySendAgain(facts));
+}
+
+BOOST_AUTO_TEST_CASE(WhatMayHaveRunIsSentToAsManyTargetsAsItsRouteAllows) {
+  RetryFacts facts = Facts(Ran::kUnknown);
+  facts.sends = 2;
+  BOOST_TEST(!MaySendAgain(facts));
+  facts.max_attempts = 3;
+  BOOST_TEST(MaySendAgain(facts));
+}
+
+BOOST_AUTO_TEST_CASE(WhatHasNotRunIsSentAgainWhateverItsRouteAllows) {
+  RetryFacts facts = Facts(Ran::kNo);
+  facts.repeatable = false;
+  facts.max_attempts = 1;
+  BOOST_TEST(MaySendAgain(facts));
+}
+
+BOOST_AUTO_TEST_CASE(NothingIsSentMoreThanThreeTimes) {
+  for (const Ran ran : {Ran::kNo, Ran::kUnknown}) {
+    RetryFacts facts = Facts(ran);
+    facts.max_attempts = 9;
+    facts.sends = 2;
+    BOOST_TEST(MaySendAgain(facts));
+    facts.sends = 3;
+    BOOST_TEST(!MaySendAgain(facts));
+  }
+}
+
+BOOST_AUTO_TEST_CASE(NothingIsSentAgainForACallerThatCantUseIt) {
+  for (const Ran ran : {Ran::kNo, Ran::kUnknown}) {
+    RetryFacts facts = Facts(ran);
+    facts.caller_gone = true;
+    BOOST_TEST(!MaySendAgain(facts));
+    facts.caller_gone = false;
+    facts.left = milliseconds(30);
+    BOOST_TEST(MaySendAgain(facts));
+    facts.left = milliseconds(29);
+    BOOST_TEST(!MaySendAgain(facts));
+  }
+}
+
+struct Fixture {
+  Fixture() : placement(PlacementOptions()), shares(Options()) {
+    request.service = kService;
+    SetTargets({"a", "b"}, kService);
+    request.tried.insert(TargetName("a"));
+    for (int n = 0; n < 10; ++n) shares.OnRequest(kNow, kService);
+  }
+
+  // Of ten requests, two may be sent again.
+  static RetryShareOptions Options() {
+    RetryShareOptions out;
+    out.ratio = 0.2;
+    out.slack = 0;
+    out.margin = 1;
+    return out;
+  }
+
+  void SetTargets(const std::vector<std::string>& names,
+                  const ServiceName& service) {
+    std::map<TargetName, TargetEntry> entries;
+    for (const std::string& it : names) {
+      TargetEntry entry;
+      entry.name = TargetName(it);
+      entry.service = service;
+      entry.slots = 4;
+      entries[entry.name] = entry;
+    }
+    placement.SetTargets(entries);
+  }
+
+  bool Take(const RetryFacts& facts) {
+    return shares.TakeRetry(kNow, facts, placement, request);
+  }
+
+  Placement placement;
+  PlacementRequest request;
+  RetryShares shares;
+};
+
+BOOST_FIXTURE_TEST_CASE(RetriesKeepToTheServicesShare, Fixture) {
+  BOOST_TEST(Take(Facts(Ran::kUnknown)));
+  BOOST_TEST(Take(Facts(Ran::kNo)));
+  BOOST_TEST(!Take(Facts(Ran::kNo)));
+  BOOST_TEST(!Take(Facts(Ran::kUnknown)));
+}
+
+BOOST_FIXTURE_TEST_CASE(ARetryThatCantBeSentIsNotCounted, Fixture) {
+  RetryFacts late = Facts(Ran::kNo);
+  late.left = {};
+  for (int n = 0; n < 5; ++n) BOOST_TEST(!Take(late));
+  SetTargets({"a"}, kService);
+  for (int n = 0; n < 5; ++n) BOOST_TEST(!Take(Facts(Ran::kNo)));
+  SetTargets({"a", "b"}, kService);
+  BOOST_TEST(Take(Facts(Ran::kNo)));
+  BOOST_TEST(Take(Facts(Ran::kNo)));
+}
+
+BOOST_FIXTURE_TEST_CASE(EachServiceHasAShareOfItsOwn, Fixture) {
+  BOOST_TEST(Take(Facts(Ran::kNo)));
+  BOOST_TEST(Take(Facts(Ran::kNo)));
+  BOOST_TEST(!Take(Facts(Ran::kNo)));
+  const ServiceName other("other");
+  request.service = other;
+  SetTargets({"a", "b"}, other);
+  BOOST_TEST(!Take(Facts(Ran::kNo)));
+  for (int n = 0; n < 5; ++n) shares.OnRequest(kNow, other);
+  BOOST_TEST(Take(Facts(Ran::kNo)));
+}
+
+// What a service allows beyond its ratio is for all routers together.
+BOOST_AUTO_TEST_CASE(TheSlackIsSharedAmongTheRouters) {
+  Fixture fixture;
+  RetryShareOptions options = Fixture::Options();
+  options.ratio = 0;
+  options.slack = 4;
+  fixture.shares = RetryShares(options);
+  fixture.shares.SetRouters(4);
+  BOOST_TEST(fixture.Take(Facts(Ran::kNo)));
+  BOOST_TEST(!fixture.Take(Facts(Ran::kNo)));
+  fixture.shares.SetRouters(2);
+  BOOST_TEST(fixture.Take(Facts(Ran::kNo)));
+}
+
+}  // namespace
+}  // namespace quaytrack
