--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -1,11 +1,9 @@
 #include "relay/relayed_request.h"
 
 #include <algorithm>
-#include <cmath>
 #include <random>
 #include <utility>
 
-#include "base/log.h"
 #include "relay/budget_driver.h"
 #include "relay/request_cost.h"
 
@@ -89,16 +87,14 @@
   if (choice) return Send(*choice);
   if (may_have_run_) return Fail(RelayCause::kTargetFailed);
   const RelayCause cause =
-      sends_ > 0 ? RelayCause::kTurnedAway : RelayCause::kNoTarget;
+      progress_.sends > 0 ? RelayCause::kTurnedAway : RelayCause::kNoTarget;
   Refuse(cause);
 }
 
 void RelayedRequest::Send(const PlacementChoice& choice) {
   const TargetEntry& target = choice.target;
-  target_ = target;
-  cost_ms_ = choice.cost_ms;
-  at_home_ = choice.is_home;
-  ++sends_;
+  progress_.choice = choice;
+  ++progress_.sends;
   admission_.placement.tried.insert(target.name);
   sent_at_ = context_.Now();
   unread_ = context_.placement.OnSent(sent_at_, target.name,
@@ -161,6 +157,7 @@
   const AnswerFacts facts = context_.target_dialect.Read(head);
   if (!AnswersRequest(facts, id())) return false;
   answer_ = head;
+  progress_.status = head.status;
   answer_facts_ = facts;
   return true;
 }
@@ -186,12 +183,13 @@
   if (!answering_) {
     answering_ = true;
     const Duration waited = context_.Now() - sent_at_;
-    first_ms_ = duration_cast<milliseconds>(waited).count();
-    context_.placement.OnAnswering(target_.name, unread_, waited);
+    progress_.first_event = waited;
+    context_.placement.OnAnswering(progress_.choice.target.name, unread_,
+                                   waited);
     unread_ = 0;
   }
   if (!streaming_) BeginStream();
-  events_relayed_ += events.count;
+  progress_.events += events.count;
   caller_->WriteChunk(events.bytes);
   const RouteRule& route = *admission_.route;
   if (route.Repeatable()) WatchAttempt(NextEventPatience(route));
@@ -240,7 +238,8 @@
   patience_timer_.reset();
   if (!at_target_) return;
   at_target_ = false;
-  context_.placement.OnEnded(context_.Now(), target_.name, unread_, outcome);
+  context_.placement.OnEnded(context_.Now(), progress_.choice.target.name,
+                             unread_, outcome);
   unread_ = 0;
 }
 
@@ -250,7 +249,7 @@
   out.ran = ran;
   out.caller_gone = caller_gone_;
   out.left = Left();
-  out.sends = sends_;
+  out.sends = progress_.sends;
   out.repeatable = route.Repeatable();
   out.max_attempts = route.max_attempts;
   return out;
@@ -265,17 +264,7 @@
 }
 
 void RelayedRequest::LogAttempt(Ran ran) const {
-  LogEvent(
-      Event::kAttemptEnded,
-      {{"request", admission_.facts.id.value},
-       {"target", target_.name.value},
-       {"ran", std::string(NameOf(ran))},
-       {"status", std::to_string(answer_.status)},
-       {"events", std::to_string(events_relayed_)},
-       {"sends", std::to_string(sends_)},
-       {"ms",
-        std::to_string(
-            duration_cast<milliseconds>(context_.Now() - sent_at_).count())}});
+  LogAttemptEnded(id(), progress_, ran, context_.Now() - sent_at_);
 }
 
 void RelayedRequest::OnAttemptEnded(Ran ran, PlacementOutcome outcome) {
@@ -345,7 +334,7 @@
   if (!held_) return 0;
   const Ran ran = may_have_run_ || streaming_ ? Ran::kUnknown : Ran::kNo;
   return CostOf({ran, admission_.worst_case, admission_.facts.prompt_tokens,
-                 events_relayed_, admission_.service->event_tokens});
+                 progress_.events, admission_.service->event_tokens});
 }
 
 void RelayedRequest::End(RelayCause cause, int status) {
@@ -356,23 +345,8 @@
   if (held_) context_.budgets.Settle(*this, Cost());
   const Duration took = context_.Now() - request_.begun;
   context_.metrics.CountEnd(admission_.customer, NameOf(cause), took);
-  LogEvent(
-      Event::kRelayEnded,
-      {{"request", admission_.facts.id.value},
-       {"route", admission_.route == nullptr ? "" : admission_.route->name},
-       {"customer", admission_.customer.value},
-       {"cause", std::string(NameOf(cause))},
-       {"status", std::to_string(status)},
-       {"target", target_.name.value},
-       {"sends", std::to_string(sends_)},
-       {"home", at_home_ ? "yes" : "no"},
-       {"expected_ms", std::to_string(std::lround(cost_ms_))},
-       {"first_ms", std::to_string(first_ms_)},
-       {"events", std::to_string(events_relayed_)},
-       {"held", std::to_string(admission_.worst_case)},
-       {"cost", std::to_string(Cost())},
-       {"config", std::to_string(map_ ? map_->version() : 0)},
-       {"ms", std::to_string(duration_cast<milliseconds>(took).count())}});
+  LogRequestEnded(admission_, progress_,
+                  {cause, status, Cost(), map_ ? map_->version() : 0, took});
   context_.loop.Post(
       [this, self = shared_from_this()] { context_.requests.erase(self); });
 }
--- a/relay/relayed_request.h
+++ b/relay/relayed_request.h
@@ -28,6 +28,7 @@
 #include "relay/hold_waiter.h"
 #include "relay/ran.h"
 #include "relay/relay_context.h"
+#include "relay/request_log.h"
 #include "relay/retry.h"
 
 namespace quaytrack {
@@ -87,18 +88,12 @@
   bool held_ = false;
   bool waits_for_budget_ = false;
 
-  TargetEntry target_;
   std::shared_ptr<CallHandle> call_;
   Tokens unread_ = 0;
   bool at_target_ = false;
   bool answering_ = false;
   Instant sent_at_{};
-  // What decided for the target, for the log.
-  double cost_ms_ = 0;
-  bool at_home_ = false;
-  // From the latest send to its first event.
-  std::int64_t first_ms_ = 0;
-  int sends_ = 0;
+  RequestProgress progress_;
   // Some attempt may have run.
   bool may_have_run_ = false;
 
@@ -107,7 +102,6 @@
   // What this attempt's answer says; empty until its head has come.
   AnswerFacts answer_facts_;
   EventReader events_;
-  int events_relayed_ = 0;
   bool streaming_ = false;
   bool paused_ = false;
   bool caller_gone_ = false;
--- /dev/null
+++ b/relay/request_log.cc
@@ -0,0 +1,51 @@
+#include "relay/request_log.h"
+
+#include <cmath>
+#include <string>
+
+#include "base/log.h"
+
+namespace quaytrack {
+namespace {
+
+std::string MillisecondsText(Duration d) {
+  return std::to_string(
+      std::chrono::duration_cast<std::chrono::milliseconds>(d).count());
+}
+
+}  // namespace
+
+void LogAttemptEnded(const RequestId& id, const RequestProgress& progress,
+                     Ran ran, Duration took) {
+  LogEvent(Event::kAttemptEnded, {{"request", id.value},
+                                  {"target", progress.choice.target.name.value},
+                                  {"ran", std::string(NameOf(ran))},
+                                  {"status", std::to_string(progress.status)},
+                                  {"events", std::to_string(progress.events)},
+                                  {"sends", std::to_string(progress.sends)},
+                                  {"ms", MillisecondsText(took)}});
+}
+
+void LogRequestEnded(const Admission& admission,
+                     const RequestProgress& progress, const RequestEnd& end) {
+  const RouteRule* route = admission.route;
+  const PlacementChoice& choice = progress.choice;
+  LogEvent(Event::kRelayEnded,
+           {{"request", admission.facts.id.value},
+            {"route", route == nullptr ? "" : route->name},
+            {"customer", admission.customer.value},
+            {"cause", std::string(NameOf(end.cause))},
+            {"status", std::to_string(end.status)},
+            {"target", choice.target.name.value},
+            {"sends", std::to_string(progress.sends)},
+            {"home", choice.is_home ? "yes" : "no"},
+            {"expected_ms", std::to_string(std::lround(choice.cost_ms))},
+            {"first_ms", MillisecondsText(progress.first_event)},
+            {"events", std::to_string(progress.events)},
+            {"held", std::to_string(admission.worst_case)},
+            {"cost", std::to_string(end.cost)},
+            {"config", std::to_string(end.config_version)},
+            {"ms", MillisecondsText(end.took)}});
+}
+
+}  // namespace quaytrack
--- /dev/null
+++ b/relay/request_log.h
@@ -0,0 +1,59 @@
+// The two log lines about a request: `attempt_ended`, for each attempt that
+// gave the caller no answer, and `relay_ended`, for each request. Together they
+// tell which way it went; docs/OPERATIONS.md shows how to read them.
+//
+//   RequestProgress progress;             // kept by the request on its way
+//   LogAttemptEnded(id, progress, Ran::kUnknown, took);
+//   LogRequestEnded(admission, progress, {cause, status, cost, version, took});
+
+#ifndef QUAYTRACK_RELAY_REQUEST_LOG_H_
+#define QUAYTRACK_RELAY_REQUEST_LOG_H_
+
+#include <cstdint>
+
+#include "base/clock.h"
+#include "base/ids.h"
+#include "dispatch/placement.h"
+#include "relay/admission.h"
+#include "relay/final_answer.h"
+#include "relay/ran.h"
+
+namespace quaytrack {
+
+// How far a request has come, over all its attempts.
+struct RequestProgress {
+  // Times that it was sent.
+  int sends = 0;
+  // Events of the stream that were passed on.
+  int events = 0;
+  // The target of the latest attempt, and what decided for it.
+  PlacementChoice choice;
+  // Status of the latest answer's head; 0 before the first. An attempt without
+  // an answer leaves what the one before it got.
+  int status = 0;
+  // From the latest send to its first event, if one has come.
+  Duration first_event{};
+};
+
+struct RequestEnd {
+  RelayCause cause = RelayCause::kServed;
+  // What the caller got: the target's status or the relay's own, or 0 if a
+  // stream was cut or the caller had gone.
+  int status = 0;
+  Tokens cost = 0;
+  // Of the configuration that it was admitted under; 0 without one.
+  std::uint64_t config_version = 0;
+  // From its first byte.
+  Duration took{};
+};
+
+// `took` is the time since the send.
+void LogAttemptEnded(const RequestId& id, const RequestProgress& progress,
+                     Ran ran, Duration took);
+
+void LogRequestEnded(const Admission& admission,
+                     const RequestProgress& progress, const RequestEnd& end);
+
+}  // namespace quaytrack
+
+#endif  // QUAYTRACK_RELAY_REQUEST_LOG_H_
