--- a/relay/relay_context.h
+++ b/relay/relay_context.h
@@ -1,41 +1,41 @@
-// What a request needs of the router that relays it.
+// The parts of the relay that a request uses on its way.
+//
+// RelayRouter owns them all; each must outlive every request. A request changes
+// them only through their own interfaces, and nothing of the context itself.
+// The configuration is not among them: a request keeps the one under which it
+// was admitted.
 
 #ifndef QUAYTRACK_RELAY_RELAY_CONTEXT_H_
 #define QUAYTRACK_RELAY_RELAY_CONTEXT_H_
 
-#include <memory>
 #include <random>
-#include <set>
 
 #include "base/clock.h"
-#include "config/service_map.h"
 #include "dispatch/placement.h"
 #include "http/target_connection.h"
+#include "net/loop.h"
 #include "relay/dialect.h"
 #include "relay/relay_metrics.h"
 #include "relay/retry.h"
+#include "relay/running_requests.h"
 
 namespace quaytrack {
 
-class RelayedRequest;
 class BudgetDriver;
 
 struct RelayContext {
   Loop& loop;
   const Clock& clock;
-  TargetConnections& targets;
   const CallerDialect& callers;
   const TargetDialect& target_dialect;
-  Placement& placement;
+  // The way of a request, in this order.
+  RunningRequests& requests;
+  std::minstd_rand& random;
   BudgetDriver& budgets;
-  RelayMetrics& metrics;
+  Placement& placement;
+  TargetConnections& targets;
   RetryShares& retries;
-  // The configuration in force; null before the first.
-  ServiceMapPtr map;
-  std::set<std::shared_ptr<RelayedRequest>> requests;
-  std::minstd_rand random{std::random_device{}()};
-
-  Instant Now() const { return clock.Now(); }
+  RelayMetrics& metrics;
 };
 
 }  // namespace quaytrack
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -95,15 +95,11 @@
                 }}),
       peers_(loop, clock, self_, PeerHandlers()),
       retries_(RetryOptions(settings)),
-      context_{loop,
-               clock,
-               connections,
-               interface.callers,
-               interface.targets,
-               placement_,
-               budgets_,
-               metrics_,
-               retries_},
+      context_{
+          loop,        clock,    interface.callers, interface.targets,
+          requests_,   random_,  budgets_,          placement_,
+          connections, retries_, metrics_,
+      },
       caller_server_(loop, clock),
       admin_server_(loop, clock),
       metrics_server_(loop, clock),
@@ -113,8 +109,8 @@
   budgets_.SetHandlers(BudgetHandlers());
   caller_server_.Serve(
       [this](std::shared_ptr<CallerConnection> caller, CallerRequest request) {
-        std::make_shared<RelayedRequest>(context_, std::move(caller),
-                                         std::move(request))
+        std::make_shared<RelayedRequest>(context_, configs_.map(),
+                                         std::move(caller), std::move(request))
             ->Start();
       });
   admin_server_.Serve(
@@ -211,7 +207,6 @@
 
 void RelayRouter::OnConfigTaken() {
   const ServiceMapPtr& map = configs_.map();
-  context_.map = map;
   caller_server_.SetLimits(LimitsOf(map->limits()));
   budgets_.SetConfig(*map);
   peers_.Ping();
--- a/relay/relay_router.h
+++ b/relay/relay_router.h
@@ -5,6 +5,7 @@
 #define QUAYTRACK_RELAY_RELAY_ROUTER_H_
 
 #include <memory>
+#include <random>
 #include <string>
 
 #include "base/clock.h"
@@ -21,6 +22,7 @@
 #include "relay/relay_metrics.h"
 #include "relay/relay_settings.h"
 #include "relay/retry.h"
+#include "relay/running_requests.h"
 
 namespace quaytrack {
 
@@ -72,7 +74,10 @@
   ConfigDriver configs_;
   PeerMesh peers_;
   RetryShares retries_;
-  RelayContext context_;
+  RunningRequests requests_;
+  // Chooses among the services of a route.
+  std::minstd_rand random_{std::random_device{}()};
+  const RelayContext context_;
   CallerServer caller_server_;
   CallerServer admin_server_;
   CallerServer metrics_server_;
--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -21,17 +21,17 @@
 
 }  // namespace
 
-RelayedRequest::RelayedRequest(RelayContext& context,
+RelayedRequest::RelayedRequest(const RelayContext& context, ServiceMapPtr map,
                                std::shared_ptr<CallerConnection> caller,
                                CallerRequest request)
     : context_(context),
+      map_(std::move(map)),
       caller_(std::move(caller)),
-      request_(std::move(request)),
-      map_(context.map) {}
+      request_(std::move(request)) {}
 
 void RelayedRequest::Start() {
   const auto self = shared_from_this();
-  context_.requests.insert(self);
+  context_.requests.Add(self);
   caller_->OnGone([self] { self->OnCallerGone(); });
   std::uniform_real_distribution<double> draw(0, 1);
   const auto refused =
@@ -40,7 +40,7 @@
   if (refused) return Refuse(*refused);
   deadline_timer_ = context_.loop.After(std::max(Left(), Duration::zero()),
                                         [this] { OnDeadline(); });
-  context_.retries.OnRequest(context_.Now(), admission_.service->name);
+  context_.retries.OnRequest(context_.clock.Now(), admission_.service->name);
   Hold();
 }
 
@@ -77,13 +77,13 @@
 // --- Attempts ----------------------------------------------------------------
 
 Duration RelayedRequest::Left() const {
-  return admission_.deadline - context_.Now();
+  return admission_.deadline - context_.clock.Now();
 }
 
 void RelayedRequest::Dispatch() {
   if (Left() < kLeastTimeToSend) return OnDeadline();
   const auto choice =
-      context_.placement.Choose(context_.Now(), admission_.placement);
+      context_.placement.Choose(context_.clock.Now(), admission_.placement);
   if (choice) return Send(*choice);
   if (may_have_run_) return Fail(RelayCause::kTargetFailed);
   const RelayCause cause =
@@ -96,7 +96,7 @@
   progress_.choice = choice;
   ++progress_.sends;
   admission_.placement.tried.insert(target.name);
-  sent_at_ = context_.Now();
+  sent_at_ = context_.clock.Now();
   unread_ = context_.placement.OnSent(sent_at_, target.name,
                                       admission_.placement, choice.is_home);
   at_target_ = true;
@@ -140,7 +140,7 @@
     call_.reset();
     return OnAttemptEnded(Ran::kNo, PlacementOutcome::kFailed);
   }
-  const Duration waited = context_.Now() - sent_at_;
+  const Duration waited = context_.clock.Now() - sent_at_;
   const Duration patience = FirstAnswerPatience(*admission_.route, Left());
   if (!answering_ && waited < patience) return WatchAttempt(patience - waited);
   // Not stopped for nothing: only if it may be sent to another target.
@@ -182,7 +182,7 @@
   if (events.bytes.empty()) return;
   if (!answering_) {
     answering_ = true;
-    const Duration waited = context_.Now() - sent_at_;
+    const Duration waited = context_.clock.Now() - sent_at_;
     progress_.first_event = waited;
     context_.placement.OnAnswering(progress_.choice.target.name, unread_,
                                    waited);
@@ -201,7 +201,7 @@
 void RelayedRequest::BeginStream() {
   streaming_ = true;
   context_.metrics.ObserveFirstByte(admission_.customer, admission_.route->kind,
-                                    context_.Now() - request_.begun);
+                                    context_.clock.Now() - request_.begun);
   caller_->StartStream(HeadForCaller(answer_));
   patience_timer_.reset();
   caller_->OnDrained([self = shared_from_this()] {
@@ -238,7 +238,7 @@
   patience_timer_.reset();
   if (!at_target_) return;
   at_target_ = false;
-  context_.placement.OnEnded(context_.Now(), progress_.choice.target.name,
+  context_.placement.OnEnded(context_.clock.Now(), progress_.choice.target.name,
                              unread_, outcome);
   unread_ = 0;
 }
@@ -257,14 +257,14 @@
 
 bool RelayedRequest::TakeRetry(Ran ran) {
   const bool taken =
-      context_.retries.TakeRetry(context_.Now(), FactsForRetry(ran),
+      context_.retries.TakeRetry(context_.clock.Now(), FactsForRetry(ran),
                                  context_.placement, admission_.placement);
   if (taken) context_.metrics.CountRetry();
   return taken;
 }
 
 void RelayedRequest::LogAttempt(Ran ran) const {
-  LogAttemptEnded(id(), progress_, ran, context_.Now() - sent_at_);
+  LogAttemptEnded(id(), progress_, ran, context_.clock.Now() - sent_at_);
 }
 
 void RelayedRequest::OnAttemptEnded(Ran ran, PlacementOutcome outcome) {
@@ -343,12 +343,12 @@
   deadline_timer_.reset();
   patience_timer_.reset();
   if (held_) context_.budgets.Settle(*this, Cost());
-  const Duration took = context_.Now() - request_.begun;
+  const Duration took = context_.clock.Now() - request_.begun;
   context_.metrics.CountEnd(admission_.customer, NameOf(cause), took);
   LogRequestEnded(admission_, progress_,
                   {cause, status, Cost(), map_ ? map_->version() : 0, took});
   context_.loop.Post(
-      [this, self = shared_from_this()] { context_.requests.erase(self); });
+      [this, self = shared_from_this()] { context_.requests.Remove(self); });
 }
 
 }  // namespace quaytrack
--- a/relay/relayed_request.h
+++ b/relay/relayed_request.h
@@ -19,6 +19,7 @@
 #include <memory>
 #include <string>
 
+#include "config/service_map.h"
 #include "http/caller_connection.h"
 #include "http/target_connection.h"
 #include "relay/admission.h"
@@ -36,7 +37,8 @@
 class RelayedRequest : public HoldWaiter,
                        public std::enable_shared_from_this<RelayedRequest> {
  public:
-  RelayedRequest(RelayContext& context,
+  // `map` is the configuration in force; null before the first.
+  RelayedRequest(const RelayContext& context, ServiceMapPtr map,
                  std::shared_ptr<CallerConnection> caller,
                  CallerRequest request);
 
@@ -77,10 +79,10 @@
   Tokens Cost() const;
   Duration Left() const;
 
-  RelayContext& context_;
-  std::shared_ptr<CallerConnection> caller_;
-  CallerRequest request_;
-  ServiceMapPtr map_;
+  const RelayContext& context_;
+  const ServiceMapPtr map_;
+  const std::shared_ptr<CallerConnection> caller_;
+  const CallerRequest request_;
   Admission admission_;
   std::unique_ptr<Timer> deadline_timer_;
   std::unique_ptr<Timer> patience_timer_;
--- /dev/null
+++ b/relay/running_requests.h
@@ -0,0 +1,33 @@
+// The requests that are on their way through this router.
+//
+//   requests.Add(request);        // keeps it alive
+//   requests.Remove(request);     // after its end
+//
+// Each request adds itself when it starts. The planned stop waits until none is
+// left (relay/relay_router.h).
+
+#ifndef QUAYTRACK_RELAY_RUNNING_REQUESTS_H_
+#define QUAYTRACK_RELAY_RUNNING_REQUESTS_H_
+
+#include <cstddef>
+#include <memory>
+#include <set>
+
+namespace quaytrack {
+
+class RelayedRequest;
+
+class RunningRequests {
+ public:
+  void Add(const std::shared_ptr<RelayedRequest>& it) { all_.insert(it); }
+  void Remove(const std::shared_ptr<RelayedRequest>& it) { all_.erase(it); }
+  bool empty() const { return all_.empty(); }
+  std::size_t size() const { return all_.size(); }
+
+ private:
+  std::set<std::shared_ptr<RelayedRequest>> all_;
+};
+
+}  // namespace quaytrack
+
+#endif  // QUAYTRACK_RELAY_RUNNING_REQUESTS_H_
