--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -69,6 +69,8 @@
 }
 
 void RelayedRequest::OnHoldRefused(bool exhausted) {
+  // Refused while the request ended.
+  if (ended_) return;
   waits_for_budget_ = false;
   if (exhausted) return Refuse(RelayCause::kBudgetExhausted);
   Refuse(RelayCause::kBudgetUnavailable);
