--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -276,7 +276,8 @@
   LogAttempt(ran);
   if (caller_gone_) return End(RelayCause::kCallerGone, 0);
   if (TakeRetry(ran)) return Dispatch();
-  if (may_have_run_) return Fail(RelayCause::kTargetFailed);
+  // A stream that has begun can't end in another answer.
+  if (may_have_run_ || streaming_) return Fail(RelayCause::kTargetFailed);
   Refuse(RelayCause::kTurnedAway);
 }
 
