--- a/chart/embedded.cc
+++ b/chart/embedded.cc
@@ -177,4 +177,156 @@
 }
 )chart";
 
+const char kRelayChart[] = R"chart({
+  "name": "relay",
+  "initial": "admitting",
+  "final": ["ended"],
+  "states": {
+    "admitting": {
+      "on": {
+        "hold_unneeded": {"to": "choosing", "do": "choose"},
+        "hold_delayed": {"to": "awaiting_hold"},
+        "hold_granted": {"to": "choosing", "do": "take_hold"},
+        "give_up_not_run": {"to": "ended", "do": "refuse"},
+        "give_up_may_have_run": {"to": "ended", "do": "fail"},
+        "caller_gone_not_run": {"to": "ended", "do": "drop"},
+        "caller_gone_may_have_run": {"to": "ended", "do": "abandon"}
+      },
+      "ignore": ["target_chosen", "first_event", "answer_complete",
+                 "retry_not_run", "retry_may_have_run",
+                 "caller_gone_call_runs_on"]
+    },
+    "awaiting_hold": {
+      "on": {
+        "hold_granted": {"to": "choosing", "do": "take_hold"},
+        "give_up_not_run": {"to": "ended", "do": "refuse"},
+        "give_up_may_have_run": {"to": "ended", "do": "fail"},
+        "caller_gone_not_run": {"to": "ended", "do": "drop"},
+        "caller_gone_may_have_run": {"to": "ended", "do": "abandon"}
+      },
+      "ignore": ["hold_unneeded", "hold_delayed", "target_chosen",
+                 "first_event", "answer_complete", "retry_not_run",
+                 "retry_may_have_run", "caller_gone_call_runs_on"]
+    },
+    "choosing": {
+      "on": {
+        "target_chosen": {"to": "trying", "do": "send"},
+        "give_up_not_run": {"to": "ended", "do": "refuse"},
+        "give_up_may_have_run": {"to": "ended", "do": "fail"},
+        "caller_gone_not_run": {"to": "ended", "do": "drop"},
+        "caller_gone_may_have_run": {"to": "ended", "do": "abandon"}
+      },
+      "ignore": ["hold_unneeded", "hold_delayed", "hold_granted", "first_event",
+                 "answer_complete", "retry_not_run", "retry_may_have_run",
+                 "caller_gone_call_runs_on"]
+    },
+    "trying": {
+      "on": {
+        "first_event": {"to": "streaming", "do": "begin_stream"},
+        "answer_complete": {"to": "ended", "do": "reply"},
+        "retry_not_run": {"to": "choosing", "do": "choose"},
+        "retry_may_have_run": {"to": "choosing_again", "do": "choose"},
+        "give_up_not_run": {"to": "ended", "do": "refuse"},
+        "give_up_may_have_run": {"to": "ended", "do": "fail"},
+        "caller_gone_not_run": {"to": "ended", "do": "drop"},
+        "caller_gone_may_have_run": {"to": "ended", "do": "abandon"},
+        "caller_gone_call_runs_on": {"to": "caller_left"}
+      },
+      "ignore": ["hold_unneeded", "hold_delayed", "hold_granted",
+                 "target_chosen"]
+    },
+    "choosing_again": {
+      "on": {
+        "target_chosen": {"to": "trying_again", "do": "send"},
+        "give_up_not_run": {"to": "ended", "do": "fail"},
+        "give_up_may_have_run": {"to": "ended", "do": "fail"},
+        "caller_gone_not_run": {"to": "ended", "do": "abandon"},
+        "caller_gone_may_have_run": {"to": "ended", "do": "abandon"},
+        "caller_gone_call_runs_on": {"to": "ended", "do": "abandon"}
+      },
+      "ignore": ["hold_unneeded", "hold_delayed", "hold_granted", "first_event",
+                 "answer_complete", "retry_not_run", "retry_may_have_run"]
+    },
+    "trying_again": {
+      "on": {
+        "first_event": {"to": "streaming", "do": "begin_stream"},
+        "answer_complete": {"to": "ended", "do": "reply"},
+        "retry_not_run": {"to": "choosing_again", "do": "choose"},
+        "retry_may_have_run": {"to": "choosing_again", "do": "choose"},
+        "give_up_not_run": {"to": "ended", "do": "fail"},
+        "give_up_may_have_run": {"to": "ended", "do": "fail"},
+        "caller_gone_not_run": {"to": "ended", "do": "abandon"},
+        "caller_gone_may_have_run": {"to": "ended", "do": "abandon"},
+        "caller_gone_call_runs_on": {"to": "ended", "do": "abandon"}
+      },
+      "ignore": ["hold_unneeded", "hold_delayed", "hold_granted",
+                 "target_chosen"]
+    },
+    "streaming": {
+      "on": {
+        "answer_complete": {"to": "ended", "do": "end_stream"},
+        "retry_not_run": {"to": "choosing_to_resume", "do": "choose"},
+        "retry_may_have_run": {"to": "choosing_to_resume", "do": "choose"},
+        "give_up_not_run": {"to": "ended", "do": "abort_stream"},
+        "give_up_may_have_run": {"to": "ended", "do": "abort_stream"},
+        "caller_gone_not_run": {"to": "ended", "do": "abandon"},
+        "caller_gone_may_have_run": {"to": "ended", "do": "abandon"},
+        "caller_gone_call_runs_on": {"to": "ended", "do": "abandon"}
+      },
+      "ignore": ["hold_unneeded", "hold_delayed", "hold_granted",
+                 "target_chosen", "first_event"]
+    },
+    "choosing_to_resume": {
+      "on": {
+        "target_chosen": {"to": "resuming", "do": "send"},
+        "give_up_not_run": {"to": "ended", "do": "abort_stream"},
+        "give_up_may_have_run": {"to": "ended", "do": "abort_stream"},
+        "caller_gone_not_run": {"to": "ended", "do": "abandon"},
+        "caller_gone_may_have_run": {"to": "ended", "do": "abandon"},
+        "caller_gone_call_runs_on": {"to": "ended", "do": "abandon"}
+      },
+      "ignore": ["hold_unneeded", "hold_delayed", "hold_granted", "first_event",
+                 "answer_complete", "retry_not_run", "retry_may_have_run"]
+    },
+    "resuming": {
+      "on": {
+        "first_event": {"to": "streaming"},
+        "answer_complete": {"to": "ended", "do": "end_stream"},
+        "retry_not_run": {"to": "choosing_to_resume", "do": "choose"},
+        "retry_may_have_run": {"to": "choosing_to_resume", "do": "choose"},
+        "give_up_not_run": {"to": "ended", "do": "abort_stream"},
+        "give_up_may_have_run": {"to": "ended", "do": "abort_stream"},
+        "caller_gone_not_run": {"to": "ended", "do": "abandon"},
+        "caller_gone_may_have_run": {"to": "ended", "do": "abandon"},
+        "caller_gone_call_runs_on": {"to": "ended", "do": "abandon"}
+      },
+      "ignore": ["hold_unneeded", "hold_delayed", "hold_granted",
+                 "target_chosen"]
+    },
+    "caller_left": {
+      "on": {
+        "answer_complete": {"to": "ended", "do": "abandon"},
+        "retry_not_run": {"to": "ended", "do": "drop"},
+        "retry_may_have_run": {"to": "ended", "do": "abandon"},
+        "give_up_not_run": {"to": "ended", "do": "drop"},
+        "give_up_may_have_run": {"to": "ended", "do": "abandon"}
+      },
+      "ignore": ["hold_unneeded", "hold_delayed", "hold_granted",
+                 "target_chosen", "first_event", "caller_gone_not_run",
+                 "caller_gone_may_have_run", "caller_gone_call_runs_on"]
+    },
+    "ended": {
+      "on": {
+        "hold_granted": {"to": "ended", "do": "return_hold"}
+      },
+      "ignore": ["hold_unneeded", "hold_delayed", "target_chosen",
+                 "first_event", "answer_complete", "retry_not_run",
+                 "retry_may_have_run", "give_up_not_run",
+                 "give_up_may_have_run", "caller_gone_not_run",
+                 "caller_gone_may_have_run", "caller_gone_call_runs_on"]
+    }
+  }
+}
+)chart";
+
 }  // namespace quaytrack
--- a/chart/embedded.h
+++ b/chart/embedded.h
@@ -8,6 +8,7 @@
 extern const char kClaimChart[];
 extern const char kDrainChart[];
 extern const char kForwardChart[];
+extern const char kRelayChart[];
 
 }  // namespace quaytrack
 
--- a/cli/relay_command.cc
+++ b/cli/relay_command.cc
@@ -6,7 +6,6 @@
 
 #include "base/clock.h"
 #include "base/log.h"
-#include "chart/drain_chart.h"
 #include "cli/commands.h"
 #include "cli/exit_codes.h"
 #include "cli/run_process.h"
@@ -14,6 +13,7 @@
 #include "net/loop.h"
 #include "platform/dialects.h"
 #include "platform/platform_store.h"
+#include "relay/relay_chart.h"
 #include "relay/relay_router.h"
 #include "relay/relay_settings.h"
 
@@ -26,7 +26,7 @@
     "\\\n"
     "      --listen 10.0.0.7:8080 --admin-listen 10.0.0.7:8081\n";
 
-int Serve(const RelaySettings& settings, const DrainChart& drain) {
+int Serve(const RelaySettings& settings, const RelayCharts& charts) {
   const SystemClock clock;
   const platform::PlatformCallers callers;
   const platform::PlatformTargets targets;
@@ -35,7 +35,7 @@
   TargetConnections connections(loop, clock);
   platform::PlatformStore store(loop, connections, {settings.store});
   RelayRouter router(loop, clock, settings, {callers, targets, state},
-                     connections, store, drain);
+                     connections, store, charts);
   if (!router.Listen()) return kExitRefused;
   for (int it : {SIGTERM, SIGINT}) {
     loop.OnSignal(it, [&] { router.Drain(); });
@@ -57,7 +57,7 @@
   AddRelayFlags(*command, *flags);
   command->callback([flags, &exit_code] {
     exit_code = RunProcess<RelaySettings>(*flags, CheckRelaySettings,
-                                          BindDrainChart, Serve);
+                                          BindRelayCharts, Serve);
   });
 }
 
--- a/relay/relay_context.h
+++ b/relay/relay_context.h
@@ -15,6 +15,7 @@
 #include "http/target_connection.h"
 #include "net/loop.h"
 #include "relay/dialect.h"
+#include "relay/relay_chart.h"
 #include "relay/relay_metrics.h"
 #include "relay/retry.h"
 #include "relay/running_requests.h"
@@ -26,6 +27,7 @@
 struct RelayContext {
   Loop& loop;
   const Clock& clock;
+  const RelayChart& chart;
   const CallerDialect& callers;
   const TargetDialect& target_dialect;
   // The way of a request, in this order.
--- a/relay/relay_router.h
+++ b/relay/relay_router.h
@@ -18,6 +18,7 @@
 #include "relay/config_driver.h"
 #include "relay/fleet_driver.h"
 #include "relay/peer_mesh.h"
+#include "relay/relay_chart.h"
 #include "relay/relay_context.h"
 #include "relay/relay_metrics.h"
 #include "relay/relay_settings.h"
@@ -37,7 +38,7 @@
  public:
   RelayRouter(Loop& loop, const Clock& clock, const RelaySettings& settings,
               const RelayInterface& interface, TargetConnections& connections,
-              KvStore& store, const DrainChart& drain);
+              KvStore& store, const RelayCharts& charts);
 
   // Binds the addresses; false, with a line in the log, if one is taken.
   bool Listen();
--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -5,7 +5,6 @@
 #include <utility>
 
 #include "relay/budget_driver.h"
-#include "relay/request_cost.h"
 
 namespace quaytrack {
 namespace {
@@ -13,10 +12,13 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-// A caller that takes less than it is sent is buffered up to this; then reading
-// from the target stops until it has drained.
+// A caller that takes less than it is sent is buffered up to this many bytes;
+// then reading from the target stops until the buffer has drained. Not
+// measured.
 constexpr std::size_t kMostUnsent = 64 * 1024;
-// Urgency levels of routes below one of customers.
+
+// Targets are told one priority: the customer's goes first, and routes are told
+// apart by this many levels within it. Not measured.
 constexpr int kRouteLevels = 3;
 
 }  // namespace
@@ -27,7 +29,8 @@
     : context_(context),
       map_(std::move(map)),
       caller_(std::move(caller)),
-      request_(std::move(request)) {}
+      request_(std::move(request)),
+      machine_(context.chart) {}
 
 void RelayedRequest::Start() {
   const auto self = shared_from_this();
@@ -37,99 +40,131 @@
   const auto refused =
       Admit({map_.get(), context_.callers, request_, draw(context_.random)},
             admission_);
-  if (refused) return Refuse(*refused);
+  if (refused) return GiveUp(Ran::kNo, *refused);
   deadline_timer_ = context_.loop.After(std::max(Left(), Duration::zero()),
                                         [this] { OnDeadline(); });
   context_.retries.OnRequest(context_.clock.Now(), admission_.service->name);
   Hold();
 }
 
-// --- The budget --------------------------------------------------------------
+void RelayedRequest::Apply(RelayEvent event) {
+  const auto self = shared_from_this();
+  Do(machine_.Apply(event));
+}
+
+void RelayedRequest::Do(RelayAction action) {
+  switch (action) {
+    case RelayAction::kNone:
+      return;
+    case RelayAction::kTakeHold:
+      held_ = true;
+      return Choose();
+    case RelayAction::kReturnHold:
+      return context_.budgets.Settle(*this, 0);
+    case RelayAction::kChoose:
+      return Choose();
+    case RelayAction::kSend:
+      return Send();
+    case RelayAction::kBeginStream:
+      return BeginStream();
+    case RelayAction::kReply:
+      caller_->Reply(HeadForCaller(answer_), body_);
+      return End(Ran::kUnknown);
+    case RelayAction::kEndStream:
+      caller_->EndStream();
+      return End(Ran::kUnknown);
+    case RelayAction::kAbortStream:
+      cause_ = RelayCause::kStreamBroke;
+      caller_->Abort();
+      return End(Ran::kUnknown);
+    case RelayAction::kRefuse:
+      return AnswerCaller(Ran::kNo);
+    case RelayAction::kFail:
+      // Whatever ended the last attempt, the request has failed at a target
+      // that may have run it.
+      if (cause_ != RelayCause::kTimedOut) cause_ = RelayCause::kTargetFailed;
+      return AnswerCaller(Ran::kUnknown);
+    case RelayAction::kDrop:
+      return End(Ran::kNo);
+    case RelayAction::kAbandon:
+      return End(Ran::kUnknown);
+  }
+}
+
+// --- Before a target ---------------------------------------------------------
 
 void RelayedRequest::Hold() {
-  if (admission_.worst_case == 0 || admission_.customer.empty())
-    return Dispatch();
+  const bool unneeded =
+      admission_.worst_case == 0 || admission_.customer.empty();
+  if (unneeded) return Apply(RelayEvent::kHoldUnneeded);
   switch (context_.budgets.Hold(shared_from_this())) {
     case PrepaidVerdict::kHeld:
-      return OnHeld();
+      return Apply(RelayEvent::kHoldGranted);
     case PrepaidVerdict::kShort:
-      waits_for_budget_ = true;
-      return;
+      return Apply(RelayEvent::kHoldDelayed);
     case PrepaidVerdict::kExhausted:
       return OnHoldRefused(true);
   }
 }
 
-void RelayedRequest::OnHeld() {
-  // Granted while the request ended.
-  if (ended_) return context_.budgets.Settle(*this, 0);
-  held_ = true;
-  waits_for_budget_ = false;
-  Dispatch();
-}
-
 void RelayedRequest::OnHoldRefused(bool exhausted) {
-  // Refused while the request ended.
-  if (ended_) return;
-  waits_for_budget_ = false;
-  if (exhausted) return Refuse(RelayCause::kBudgetExhausted);
-  Refuse(RelayCause::kBudgetUnavailable);
-}
-
-// --- Attempts ----------------------------------------------------------------
-
-Duration RelayedRequest::Left() const {
-  return admission_.deadline - context_.clock.Now();
+  GiveUp(Ran::kNo, exhausted ? RelayCause::kBudgetExhausted
+                             : RelayCause::kBudgetUnavailable);
 }
 
-void RelayedRequest::Dispatch() {
+void RelayedRequest::Choose() {
   if (Left() < kLeastTimeToSend) return OnDeadline();
   const auto choice =
       context_.placement.Choose(context_.clock.Now(), admission_.placement);
-  if (choice) return Send(*choice);
-  if (may_have_run_) return Fail(RelayCause::kTargetFailed);
-  const RelayCause cause =
-      progress_.sends > 0 ? RelayCause::kTurnedAway : RelayCause::kNoTarget;
-  Refuse(cause);
+  if (!choice) {
+    return GiveUp(Ran::kNo, progress_.sends > 0 ? RelayCause::kTurnedAway
+                                                : RelayCause::kNoTarget);
+  }
+  progress_.choice = *choice;
+  Apply(RelayEvent::kTargetChosen);
 }
 
-void RelayedRequest::Send(const PlacementChoice& choice) {
-  const TargetEntry& target = choice.target;
-  progress_.choice = choice;
+// --- At a target -------------------------------------------------------------
+
+void RelayedRequest::Send() {
+  const TargetName& target = progress_.choice.target.name;
   ++progress_.sends;
-  admission_.placement.tried.insert(target.name);
+  admission_.placement.tried.insert(target);
   sent_at_ = context_.clock.Now();
-  unread_ = context_.placement.OnSent(sent_at_, target.name,
-                                      admission_.placement, choice.is_home);
-  at_target_ = true;
-  answering_ = false;
+  prefill_ = context_.placement.OnSent(sent_at_, target, admission_.placement,
+                                       progress_.choice.is_home);
   answer_facts_ = {};
   body_.clear();
   events_.DropPartial();
 
-  SendFacts facts;
-  facts.target = target.name;
-  facts.customer = admission_.customer;
-  facts.time_left = duration_cast<milliseconds>(Left());
-  facts.priority =
-      admission_.customer_priority * kRouteLevels + admission_.route->priority;
-  if (streaming_) facts.last_event = events_.last_id();
-  TargetCall call;
-  call.address = target.address;
-  call.bytes =
-      context_.target_dialect.Head(request_.head, facts, request_.body.size());
-  call.bytes += request_.body;
   CallHandle::Handlers on;
   const auto self = shared_from_this();
   on.head = [self](const HttpHead& head) { return self->OnHead(head); };
   on.body = [self](std::string_view bytes) { self->OnBody(bytes); };
   on.end = [self](CallEnd end) { self->OnCallEnd(end); };
-  call_ = context_.targets.Start(call, std::move(on));
+  call_ = context_.targets.Start(MakeCall(), std::move(on));
   const RouteRule& route = *admission_.route;
   WatchAttempt(call_->connecting() ? ConnectPatience(route, Left())
                                    : FirstAnswerPatience(route, Left()));
 }
 
+TargetCall RelayedRequest::MakeCall() const {
+  SendFacts facts;
+  facts.target = progress_.choice.target.name;
+  facts.customer = admission_.customer;
+  facts.time_left = duration_cast<milliseconds>(Left());
+  facts.priority =
+      admission_.customer_priority * kRouteLevels + admission_.route->priority;
+  const bool resumes = machine_.state() == RelayState::kResuming;
+  if (resumes) facts.last_event = events_.last_id();
+  TargetCall out;
+  out.address = progress_.choice.target.address;
+  out.bytes =
+      context_.target_dialect.Head(request_.head, facts, request_.body.size());
+  out.bytes += request_.body;
+  return out;
+}
+
 void RelayedRequest::WatchAttempt(Duration patience) {
   patience_timer_ = context_.loop.After(patience, [this] { OnPatienceOver(); });
 }
@@ -137,22 +172,20 @@
 void RelayedRequest::OnPatienceOver() {
   const auto self = shared_from_this();
   if (!call_) return;
-  if (!call_->sent()) {
-    call_->Cancel();
-    call_.reset();
-    return OnAttemptEnded(Ran::kNo, PlacementOutcome::kFailed);
+  if (RanInAttempt() == Ran::kNo) {
+    return EndAttempt(Ran::kNo, PlacementOutcome::kFailed);
   }
+  // The connection has opened in time; the answer has a patience of its own.
   const Duration waited = context_.clock.Now() - sent_at_;
   const Duration patience = FirstAnswerPatience(*admission_.route, Left());
-  if (!answering_ && waited < patience) return WatchAttempt(patience - waited);
-  // Not stopped for nothing: only if it may be sent to another target.
+  const bool answering = machine_.state() == RelayState::kStreaming;
+  if (!answering && waited < patience) return WatchAttempt(patience - waited);
+  // Not stopped for nothing: only if it may be sent to another target. So the
+  // retry is taken first here, and last in `EndAttempt`.
   if (!TakeRetry(Ran::kUnknown)) return;
-  call_->Cancel();
-  call_.reset();
-  may_have_run_ = true;
-  ReleaseTarget(PlacementOutcome::kFailed);
+  StopAttempt(PlacementOutcome::kFailed);
   LogAttempt(Ran::kUnknown);
-  Dispatch();
+  Retry(Ran::kUnknown);
 }
 
 bool RelayedRequest::OnHead(const HttpHead& head) {
@@ -166,31 +199,23 @@
 
 void RelayedRequest::OnBody(std::string_view bytes) {
   const auto self = shared_from_this();
-  if (ended_) return;
+  if (machine_.state() == RelayState::kEnded) return;
   if (IsPassedOnByEvent(admission_.route->kind, answer_.status,
                         answer_facts_.sealed)) {
-    return RelayEvents(bytes);
+    return PassOnEvents(bytes);
   }
   body_.append(bytes);
 }
 
-void RelayedRequest::RelayEvents(std::string_view bytes) {
+// Runs for every piece of a stream, so it does no more than it must: only the
+// first event of an attempt goes through the chart.
+void RelayedRequest::PassOnEvents(std::string_view bytes) {
   const StreamEvents events = events_.Take(bytes);
   if (events.out_of_order) {
-    call_->Cancel();
-    call_.reset();
-    return OnAttemptEnded(Ran::kUnknown, PlacementOutcome::kFailed);
+    return EndAttempt(Ran::kUnknown, PlacementOutcome::kFailed);
   }
   if (events.bytes.empty()) return;
-  if (!answering_) {
-    answering_ = true;
-    const Duration waited = context_.clock.Now() - sent_at_;
-    progress_.first_event = waited;
-    context_.placement.OnAnswering(progress_.choice.target.name, unread_,
-                                   waited);
-    unread_ = 0;
-  }
-  if (!streaming_) BeginStream();
+  if (machine_.state() != RelayState::kStreaming) OnFirstEvent();
   progress_.events += events.count;
   caller_->WriteChunk(events.bytes);
   const RouteRule& route = *admission_.route;
@@ -200,9 +225,17 @@
   call_->PauseReading();
 }
 
+void RelayedRequest::OnFirstEvent() {
+  const Duration waited = context_.clock.Now() - sent_at_;
+  progress_.first_event = waited;
+  context_.placement.OnAnswering(progress_.choice.target.name, prefill_,
+                                 waited);
+  prefill_ = 0;
+  Apply(RelayEvent::kFirstEvent);
+}
+
 void RelayedRequest::BeginStream() {
-  streaming_ = true;
-  context_.metrics.ObserveFirstByte(admission_.customer, admission_.route->kind,
+  context_.metrics.ObserveFirstByte(customer(), admission_.route->kind,
                                     context_.clock.Now() - request_.begun);
   caller_->StartStream(HeadForCaller(answer_));
   patience_timer_.reset();
@@ -215,41 +248,59 @@
 
 void RelayedRequest::OnCallEnd(CallEnd end) {
   const auto self = shared_from_this();
-  call_.reset();
-  if (ended_) return;
+  const RelayState state = machine_.state();
+  if (state == RelayState::kEnded) return;
+  const bool streaming =
+      state == RelayState::kStreaming || state == RelayState::kResuming;
   const AttemptVerdict verdict = JudgeAttempt(
-      {end, answer_facts_, answer_.status, events_.InEvent(), streaming_});
+      {end, answer_facts_, answer_.status, events_.InEvent(), streaming});
   const bool error = IsServerError(answer_.status);
   if (!verdict.answered ||
       (error && MaySendAgain(FactsForRetry(verdict.ran)))) {
-    return OnAttemptEnded(verdict.ran, verdict.outcome);
+    return EndAttempt(verdict.ran, verdict.outcome);
   }
-  may_have_run_ = true;
-  if (streaming_) {
-    caller_->EndStream();
-  } else if (!caller_gone_) {
-    caller_->Reply(HeadForCaller(answer_), body_);
-  }
-  ReleaseTarget(verdict.outcome);
-  End(IsSuccess(answer_.status) ? RelayCause::kServed
-                                : RelayCause::kTargetError,
-      answer_.status);
+  outcome_ = verdict.outcome;
+  cause_ = IsSuccess(answer_.status) ? RelayCause::kServed
+                                     : RelayCause::kTargetError;
+  Apply(RelayEvent::kAnswerComplete);
+}
+
+// --- After an attempt --------------------------------------------------------
+
+Ran RelayedRequest::RanInAttempt() const {
+  return call_ && call_->sent() ? Ran::kUnknown : Ran::kNo;
 }
 
-void RelayedRequest::ReleaseTarget(PlacementOutcome outcome) {
+// Leaves the target, if the request is at one: every way out of an attempt
+// comes through here.
+void RelayedRequest::StopAttempt(PlacementOutcome outcome) {
+  if (!call_) return;
+  call_->Cancel();
+  call_.reset();
   patience_timer_.reset();
-  if (!at_target_) return;
-  at_target_ = false;
   context_.placement.OnEnded(context_.clock.Now(), progress_.choice.target.name,
-                             unread_, outcome);
-  unread_ = 0;
+                             prefill_, outcome);
+  prefill_ = 0;
+}
+
+// The attempt has failed, by itself or by its target. The deadline and a caller
+// that leaves end the whole request, and write no line about the attempt.
+void RelayedRequest::EndAttempt(Ran ran, PlacementOutcome outcome) {
+  const auto self = shared_from_this();
+  StopAttempt(outcome);
+  LogAttempt(ran);
+  if (machine_.state() == RelayState::kCallerLeft) {
+    return GiveUp(ran, RelayCause::kCallerGone);
+  }
+  if (TakeRetry(ran)) return Retry(ran);
+  GiveUp(ran, RelayCause::kTurnedAway);
 }
 
 RetryFacts RelayedRequest::FactsForRetry(Ran ran) const {
   const RouteRule& route = *admission_.route;
   RetryFacts out;
   out.ran = ran;
-  out.caller_gone = caller_gone_;
+  out.caller_gone = machine_.state() == RelayState::kCallerLeft;
   out.left = Left();
   out.sends = progress_.sends;
   out.repeatable = route.Repeatable();
@@ -265,93 +316,84 @@
   return taken;
 }
 
-void RelayedRequest::LogAttempt(Ran ran) const {
-  LogAttemptEnded(id(), progress_, ran, context_.clock.Now() - sent_at_);
+void RelayedRequest::Retry(Ran ran) {
+  Apply(ran == Ran::kNo ? RelayEvent::kRetryNotRun
+                        : RelayEvent::kRetryMayHaveRun);
 }
 
-void RelayedRequest::OnAttemptEnded(Ran ran, PlacementOutcome outcome) {
-  const auto self = shared_from_this();
-  if (ran == Ran::kUnknown) may_have_run_ = true;
-  ReleaseTarget(outcome);
-  LogAttempt(ran);
-  if (caller_gone_) return End(RelayCause::kCallerGone, 0);
-  if (TakeRetry(ran)) return Dispatch();
-  // A stream that has begun can't end in another answer.
-  if (may_have_run_ || streaming_) return Fail(RelayCause::kTargetFailed);
-  Refuse(RelayCause::kTurnedAway);
+void RelayedRequest::LogAttempt(Ran ran) const {
+  LogAttemptEnded(id(), progress_, ran, context_.clock.Now() - sent_at_);
 }
 
 // --- Ends --------------------------------------------------------------------
 
 void RelayedRequest::OnDeadline() {
   const auto self = shared_from_this();
-  if (ended_) return;
-  if (waits_for_budget_) {
+  const RelayState state = machine_.state();
+  if (state == RelayState::kEnded) return;
+  if (state == RelayState::kAwaitingHold) {
     context_.budgets.Forget(self);
     return OnHoldRefused(false);
   }
-  const bool sent = may_have_run_ || (call_ && call_->sent());
-  if (call_) call_->Cancel();
-  call_.reset();
-  ReleaseTarget(answering_ ? PlacementOutcome::kNeutral
-                           : PlacementOutcome::kFailed);
-  may_have_run_ = sent;
-  if (sent) return Fail(RelayCause::kTimedOut);
-  Refuse(RelayCause::kTimedOut);
+  const Ran ran = RanInAttempt();
+  // A target that is sending events is not to blame for the time.
+  const bool answering = state == RelayState::kStreaming;
+  StopAttempt(answering ? PlacementOutcome::kNeutral
+                        : PlacementOutcome::kFailed);
+  GiveUp(ran, RelayCause::kTimedOut);
 }
 
 void RelayedRequest::OnCallerGone() {
   const auto self = shared_from_this();
-  if (ended_) return;
-  caller_gone_ = true;
-  if (waits_for_budget_) context_.budgets.Forget(self);
-  const bool may_stop = admission_.route == nullptr ||
-                        admission_.route->kind != RouteKind::kNonIdempotent;
+  const RelayState state = machine_.state();
+  if (state == RelayState::kEnded) return;
+  if (state == RelayState::kAwaitingHold) context_.budgets.Forget(self);
+  const Ran ran = RanInAttempt();
   // A call that must not be repeated is left to end by itself.
-  if (call_ && !may_stop && call_->sent()) return;
-  may_have_run_ = may_have_run_ || (call_ && call_->sent());
-  if (call_) call_->Cancel();
-  call_.reset();
-  ReleaseTarget(PlacementOutcome::kNeutral);
-  End(RelayCause::kCallerGone, 0);
+  const bool runs_on = ran == Ran::kUnknown &&
+                       admission_.route->kind == RouteKind::kNonIdempotent;
+  if (runs_on) return Apply(RelayEvent::kCallerGoneCallRunsOn);
+  StopAttempt(PlacementOutcome::kNeutral);
+  cause_ = RelayCause::kCallerGone;
+  Apply(ran == Ran::kNo ? RelayEvent::kCallerGoneNotRun
+                        : RelayEvent::kCallerGoneMayHaveRun);
 }
 
-void RelayedRequest::Refuse(RelayCause cause) { AnswerCaller(cause, Ran::kNo); }
-
-// Gives up a request that may have run.
-void RelayedRequest::Fail(RelayCause cause) {
-  if (streaming_) {
-    caller_->Abort();
-    return End(RelayCause::kStreamBroke, 0);
-  }
-  AnswerCaller(cause, Ran::kUnknown);
+void RelayedRequest::GiveUp(Ran ran, RelayCause cause) {
+  cause_ = cause;
+  Apply(ran == Ran::kNo ? RelayEvent::kGiveUpNotRun
+                        : RelayEvent::kGiveUpMayHaveRun);
 }
 
-void RelayedRequest::AnswerCaller(RelayCause cause, Ran ran) {
-  const FinalAnswer answer = MakeFinalAnswer(cause, ran);
+void RelayedRequest::AnswerCaller(Ran ran) {
+  const FinalAnswer answer = MakeFinalAnswer(cause_, ran);
   caller_->Reply(answer.head, answer.body);
-  End(cause, answer.head.status);
-}
-
-Tokens RelayedRequest::Cost() const {
-  if (!held_) return 0;
-  const Ran ran = may_have_run_ || streaming_ ? Ran::kUnknown : Ran::kNo;
-  return CostOf({ran, admission_.worst_case, admission_.facts.prompt_tokens,
-                 progress_.events, admission_.service->event_tokens});
+  End(ran);
 }
 
-void RelayedRequest::End(RelayCause cause, int status) {
-  if (ended_) return;
-  ended_ = true;
+// The chart leads here once. `ran` is of all attempts together.
+void RelayedRequest::End(Ran ran) {
+  StopAttempt(outcome_);
   deadline_timer_.reset();
-  patience_timer_.reset();
-  if (held_) context_.budgets.Settle(*this, Cost());
+  Tokens cost = 0;
+  if (held_) {
+    cost = CostOf({ran, worst_case(), admission_.facts.prompt_tokens,
+                   progress_.events, admission_.service->event_tokens});
+    context_.budgets.Settle(*this, cost);
+  }
   const Duration took = context_.clock.Now() - request_.begun;
-  context_.metrics.CountEnd(admission_.customer, NameOf(cause), took);
-  LogRequestEnded(admission_, progress_,
-                  {cause, status, Cost(), map_ ? map_->version() : 0, took});
+  context_.metrics.CountEnd(customer(), NameOf(cause_), took);
+  LogRequestEnded(
+      admission_, progress_,
+      {cause_, EndStatus(ran), cost, map_ ? map_->version() : 0, took});
   context_.loop.Post(
       [this, self = shared_from_this()] { context_.requests.Remove(self); });
 }
 
+int RelayedRequest::EndStatus(Ran ran) const {
+  const bool passed_on =
+      cause_ == RelayCause::kServed || cause_ == RelayCause::kTargetError;
+  return passed_on ? answer_.status : FinalStatus(cause_, ran);
+}
+
 }  // namespace quaytrack
--- a/relay/relayed_request.h
+++ b/relay/relayed_request.h
@@ -1,23 +1,45 @@
 // One request on its way: from a caller, through its customer's budget, to a
 // target, and its answer back.
 //
-//   admit -> hold budget -> choose a target -> send -> relay -> settle
+//   admit -> hold budget -> choose a target -> send -> pass on -> settle
+//
+//   std::make_shared<RelayedRequest>(context, map, caller, request)->Start();
+//
+// chart/charts/relay.json is the map of this way (relay/relay_chart.h): what
+// happens to the request goes through the chart as an event, and this class
+// does what the arrow says. The rules that decide stand elsewhere, without
+// sockets and timers:
+//
+//   relay/admission.h     which requests are taken, and their deadline
+//   dispatch/placement.h  which target
+//   relay/attempt.h       how long to wait for it, and what its answer means
+//   relay/retry.h         whether another target gets the request
+//   relay/final_answer.h  what the caller is told, and when to come back
+//   relay/request_cost.h  what the customer is charged
+//   relay/request_log.h   what the log says about it
+//
+// What a request owns: its caller's exchange, at most one call to a target, its
+// place in RunningRequests, the hold on its customer's budget and its timers.
+// All are given back when it ends, and it ends once. It relies on the parts in
+// RelayContext to outlive it.
 //
 // What is promised, and where it is kept:
-//   - a request that may have run is never called not run, and one that must
-//     not be repeated is sent again only if it certainly has not run
-//     (`OnAttemptEnded`);
+//   - a request that may have run is never called not run (the chart), and one
+//     that must not be repeated is sent again only if it certainly has not run
+//     (`MaySendAgain`);
 //   - an answer is passed on only if the target vouches for it and it answers
-//     this request, and one that ends early never looks complete;
-//   - the final answer comes at once when the request is given up, and tells
-//     when to come back if it has not run (`Refuse`);
-//   - what was held of the budget is settled once, in `End`.
+//     this request, and one that ends early never looks complete
+//     (`JudgeAttempt`, `AbortStream`);
+//   - the final answer comes at once when the request is given up
+//     (`GiveUp`);
+//   - what was held of the budget is settled once (`End`).
 
 #ifndef QUAYTRACK_RELAY_RELAYED_REQUEST_H_
 #define QUAYTRACK_RELAY_RELAYED_REQUEST_H_
 
 #include <memory>
 #include <string>
+#include <string_view>
 
 #include "config/service_map.h"
 #include "http/caller_connection.h"
@@ -27,8 +49,9 @@
 #include "relay/events.h"
 #include "relay/final_answer.h"
 #include "relay/hold_waiter.h"
-#include "relay/ran.h"
+#include "relay/relay_chart.h"
 #include "relay/relay_context.h"
+#include "relay/request_cost.h"
 #include "relay/request_log.h"
 #include "relay/retry.h"
 
@@ -43,8 +66,9 @@
                  CallerRequest request);
 
   void Start();
+
   // The budget's answer, for a request that had to wait for it.
-  void OnHeld() override;
+  void OnHeld() override { Apply(RelayEvent::kHoldGranted); }
   void OnHoldRefused(bool exhausted) override;
 
   const RequestId& id() const override { return admission_.facts.id; }
@@ -52,62 +76,75 @@
   Tokens worst_case() const override { return admission_.worst_case; }
 
  private:
+  void Apply(RelayEvent event);
+  void Do(RelayAction action);
+
   void Hold();
-  void Dispatch();
-  void Send(const PlacementChoice& choice);
-  void WatchAttempt(Duration patience);
+  void Choose();
 
+  // The attempt at one target.
+  void Send();
+  TargetCall MakeCall() const;
+  void WatchAttempt(Duration patience);
+  void OnPatienceOver();
   bool OnHead(const HttpHead& head);
   void OnBody(std::string_view bytes);
-  void RelayEvents(std::string_view bytes);
+  void PassOnEvents(std::string_view bytes);
+  void OnFirstEvent();
   void BeginStream();
   void OnCallEnd(CallEnd end);
-  void OnPatienceOver();
-  void OnAttemptEnded(Ran ran, PlacementOutcome outcome);
+  Ran RanInAttempt() const;
+  void StopAttempt(PlacementOutcome outcome);
+  void EndAttempt(Ran ran, PlacementOutcome outcome);
   RetryFacts FactsForRetry(Ran ran) const;
   bool TakeRetry(Ran ran);
+  void Retry(Ran ran);
   void LogAttempt(Ran ran) const;
-  void ReleaseTarget(PlacementOutcome outcome);
+
   void OnDeadline();
   void OnCallerGone();
 
-  // Final answers, to a request that has not run and to one that may have.
-  void Refuse(RelayCause cause);
-  void Fail(RelayCause cause);
-  void AnswerCaller(RelayCause cause, Ran ran);
-  void End(RelayCause cause, int status);
-  Tokens Cost() const;
-  Duration Left() const;
+  // The ends. `ran` is what is known of the attempt that is over, if any; the
+  // chart knows of those before it, and chooses the end.
+  void GiveUp(Ran ran, RelayCause cause);
+  void AnswerCaller(Ran ran);
+  void End(Ran ran);
+  int EndStatus(Ran ran) const;
+
+  Duration Left() const { return admission_.deadline - context_.clock.Now(); }
 
   const RelayContext& context_;
   const ServiceMapPtr map_;
   const std::shared_ptr<CallerConnection> caller_;
   const CallerRequest request_;
+  ChartMachine<RelayState, RelayEvent, RelayAction> machine_;
   Admission admission_;
   std::unique_ptr<Timer> deadline_timer_;
-  std::unique_ptr<Timer> patience_timer_;
-
+  // Part of the budget is held, and must be settled.
   bool held_ = false;
-  bool waits_for_budget_ = false;
 
+  // The attempt. `call_` is there while the request is at a target; the rest
+  // stays as the latest attempt has left it.
   std::shared_ptr<CallHandle> call_;
-  Tokens unread_ = 0;
-  bool at_target_ = false;
-  bool answering_ = false;
+  std::unique_ptr<Timer> patience_timer_;
   Instant sent_at_{};
-  RequestProgress progress_;
-  // Some attempt may have run.
-  bool may_have_run_ = false;
-
+  // Tokens of the prompt that its target has still to prefill.
+  Tokens prefill_ = 0;
   HttpHead answer_;
-  std::string body_;
   // What this attempt's answer says; empty until its head has come.
   AnswerFacts answer_facts_;
-  EventReader events_;
-  bool streaming_ = false;
+  // Of an answer that is passed on when it is whole.
+  std::string body_;
+  // The caller takes less than it is sent, so the target isn't read.
   bool paused_ = false;
-  bool caller_gone_ = false;
-  bool ended_ = false;
+  // How the attempt ended, as far as it speaks for or against its target.
+  PlacementOutcome outcome_ = PlacementOutcome::kNeutral;
+
+  // Of all attempts.
+  EventReader events_;
+  RequestProgress progress_;
+  // Why the request ends; set with the event that ends it.
+  RelayCause cause_ = RelayCause::kServed;
 };
 
 }  // namespace quaytrack
--- /dev/null
+++ b/relay/testing/relay_chart_test.cc
@@ -0,0 +1,248 @@
+// What the chart of a relayed request promises, over every event in every
+// state. BindChart has already refused a chart that lacks a pair.
+
+#include "relay/relay_chart.h"
+
+#include <algorithm>
+#include <boost/test/unit_test.hpp>
+#include <set>
+#include <utility>
+#include <vector>
+
+namespace quaytrack {
+namespace {
+
+using State = RelayState;
+using Happening = RelayEvent;
+using Action = RelayAction;
+
+const RelayChart& TheChart() {
+  static const RelayChart chart = BindRelayCharts().value().request;
+  return chart;
+}
+
+struct Step {
+  State from{};
+  Happening event{};
+  Action action{};
+  State to{};
+
+  // The event means nothing there.
+  bool ignored() const { return to == from && action == Action::kNone; }
+};
+
+std::vector<Step> StepsFrom(State from) {
+  std::vector<Step> out;
+  for (const auto& [event, name] : EnumTable<Happening>::kEntries) {
+    out.push_back({from, event, TheChart().ActionOf(from, event),
+                   TheChart().Next(from, event)});
+  }
+  return out;
+}
+
+std::vector<Step> AllSteps() {
+  std::vector<Step> out;
+  for (const auto& [state, name] : EnumTable<State>::kEntries) {
+    const std::vector<Step> steps = StepsFrom(state);
+    out.insert(out.end(), steps.begin(), steps.end());
+  }
+  return out;
+}
+
+template <class E>
+bool IsOneOf(E value, std::initializer_list<E> list) {
+  return std::find(list.begin(), list.end(), value) != list.end();
+}
+
+bool IsEnd(Action it) {
+  return IsOneOf(
+      it, {Action::kReply, Action::kEndStream, Action::kAbortStream,
+           Action::kRefuse, Action::kFail, Action::kDrop, Action::kAbandon});
+}
+
+// Ends that tell the caller, or the budget, that nothing has run.
+bool SaysNotRun(Action it) {
+  return IsOneOf(it, {Action::kRefuse, Action::kDrop});
+}
+
+// Events after which the request may have run.
+bool SaysMayHaveRun(Happening it) {
+  return IsOneOf(it, {Happening::kFirstEvent, Happening::kAnswerComplete,
+                      Happening::kRetryMayHaveRun, Happening::kGiveUpMayHaveRun,
+                      Happening::kCallerGoneMayHaveRun});
+}
+
+bool IsAtTarget(State it) {
+  return IsOneOf(it, {State::kTrying, State::kTryingAgain, State::kStreaming,
+                      State::kResuming, State::kCallerLeft});
+}
+
+#define CHECK_STEP(condition, step)                                     \
+  BOOST_TEST((condition), NameOf((step).from)                           \
+                              << " on " << NameOf((step).event) << ": " \
+                              << NameOf((step).action) << ", "          \
+                              << NameOf((step).to))
+
+BOOST_AUTO_TEST_CASE(EveryPairOfTheChartIsThere) {
+  BOOST_TEST(AllSteps().size() == 11U * 13U);
+  BOOST_TEST((TheChart().Initial() == State::kAdmitting));
+  for (const auto& [state, name] : EnumTable<State>::kEntries) {
+    BOOST_TEST(TheChart().IsFinal(state) == (state == State::kEnded), name);
+  }
+}
+
+BOOST_AUTO_TEST_CASE(ARequestEndsWithOneFinalAnswer) {
+  for (const Step& it : AllSteps()) {
+    if (it.from == State::kEnded) {
+      CHECK_STEP(it.to == State::kEnded, it);
+      CHECK_STEP(!IsEnd(it.action), it);
+      continue;
+    }
+    CHECK_STEP(IsEnd(it.action) == (it.to == State::kEnded), it);
+  }
+}
+
+// Goes through every way from the start and keeps in mind whether the request
+// may have run.
+BOOST_AUTO_TEST_CASE(WhatMayHaveRunIsNeverCalledNotRun) {
+  std::set<std::pair<State, bool>> seen;
+  std::vector<std::pair<State, bool>> open = {{State::kAdmitting, false}};
+  while (!open.empty()) {
+    const auto [state, before] = open.back();
+    open.pop_back();
+    if (!seen.insert({state, before}).second) continue;
+    for (const Step& it : StepsFrom(state)) {
+      if (it.ignored()) continue;
+      const bool may_have_run = before || SaysMayHaveRun(it.event);
+      if (may_have_run) CHECK_STEP(!SaysNotRun(it.action), it);
+      open.emplace_back(it.to, may_have_run);
+    }
+  }
+  // One state never means both, so that the state alone can be asked.
+  for (const auto& [state, name] : EnumTable<State>::kEntries) {
+    if (state == State::kEnded) continue;
+    BOOST_TEST(seen.contains({state, false}) != seen.contains({state, true}),
+               name);
+  }
+}
+
+// At a target, nothing that says "may have run" goes unheard.
+BOOST_AUTO_TEST_CASE(NoTargetsWordIsIgnored) {
+  for (const Step& it : AllSteps()) {
+    if (!IsAtTarget(it.from) || !SaysMayHaveRun(it.event)) continue;
+    const bool repeated =
+        it.from == State::kStreaming && it.event == Happening::kFirstEvent;
+    // The caller of a call that runs on has left; it streams nothing.
+    const bool left = it.from == State::kCallerLeft &&
+                      IsOneOf(it.event, {Happening::kFirstEvent,
+                                         Happening::kCallerGoneMayHaveRun});
+    CHECK_STEP(it.ignored() == (repeated || left), it);
+  }
+}
+
+BOOST_AUTO_TEST_CASE(AHoldIsTakenOnceAndSettledWithTheEnd) {
+  for (const Step& it : AllSteps()) {
+    const bool asks =
+        IsOneOf(it.from, {State::kAdmitting, State::kAwaitingHold});
+    const bool granted = it.event == Happening::kHoldGranted;
+    CHECK_STEP((it.action == Action::kTakeHold) == (asks && granted), it);
+    // Granted too late: nobody else would settle it.
+    const bool late = it.from == State::kEnded && granted;
+    CHECK_STEP((it.action == Action::kReturnHold) == late, it);
+    // Nothing leads back to where a hold is taken.
+    const bool back = IsOneOf(it.to, {State::kAdmitting, State::kAwaitingHold});
+    CHECK_STEP((!back || asks), it);
+  }
+}
+
+BOOST_AUTO_TEST_CASE(NothingIsSentBeforeItsHold) {
+  for (const Step& it : StepsFrom(State::kAwaitingHold)) {
+    const bool waits = it.ignored() || it.to == State::kEnded;
+    CHECK_STEP((waits || it.event == Happening::kHoldGranted), it);
+  }
+}
+
+BOOST_AUTO_TEST_CASE(EveryStateCanBeGivenUp) {
+  for (const Step& it : AllSteps()) {
+    if (it.from == State::kEnded) continue;
+    const bool given_up = IsOneOf(
+        it.event, {Happening::kGiveUpNotRun, Happening::kGiveUpMayHaveRun});
+    if (given_up) CHECK_STEP(it.to == State::kEnded, it);
+    const bool gone = IsOneOf(it.event, {Happening::kCallerGoneNotRun,
+                                         Happening::kCallerGoneMayHaveRun});
+    if (!gone) continue;
+    // It can't leave twice.
+    CHECK_STEP((it.to == State::kEnded) != (it.from == State::kCallerLeft), it);
+  }
+}
+
+BOOST_AUTO_TEST_CASE(ACallerThatHasLeftIsAnsweredNothing) {
+  for (const Step& it : StepsFrom(State::kCallerLeft)) {
+    CHECK_STEP(
+        IsOneOf(it.action, {Action::kNone, Action::kDrop, Action::kAbandon}),
+        it);
+  }
+}
+
+// Once events have been passed on, the answer is that stream or its visible
+// break.
+BOOST_AUTO_TEST_CASE(AStreamThatHasBegunIsNeverAnsweredWithAnError) {
+  for (const State from :
+       {State::kStreaming, State::kChoosingToResume, State::kResuming}) {
+    for (const Step& it : StepsFrom(from)) {
+      CHECK_STEP(!IsOneOf(it.action, {Action::kReply, Action::kRefuse,
+                                      Action::kFail, Action::kBeginStream}),
+                 it);
+      CHECK_STEP(IsOneOf(it.to, {State::kStreaming, State::kChoosingToResume,
+                                 State::kResuming, State::kEnded}),
+                 it);
+    }
+  }
+}
+
+using Way = std::vector<std::pair<Happening, Action>>;
+
+void Follow(const Way& way) {
+  ChartMachine<State, Happening, Action> machine(TheChart());
+  for (const auto& [event, action] : way) {
+    BOOST_TEST(NameOf(machine.Apply(event)) == NameOf(action), NameOf(event));
+  }
+  BOOST_TEST(machine.done());
+}
+
+BOOST_AUTO_TEST_CASE(AStreamGoesOnAtAnotherTarget) {
+  Follow({{Happening::kHoldDelayed, Action::kNone},
+          {Happening::kHoldGranted, Action::kTakeHold},
+          {Happening::kTargetChosen, Action::kSend},
+          {Happening::kRetryNotRun, Action::kChoose},
+          {Happening::kTargetChosen, Action::kSend},
+          {Happening::kFirstEvent, Action::kBeginStream},
+          {Happening::kRetryMayHaveRun, Action::kChoose},
+          {Happening::kTargetChosen, Action::kSend},
+          {Happening::kFirstEvent, Action::kNone},
+          {Happening::kAnswerComplete, Action::kEndStream}});
+}
+
+BOOST_AUTO_TEST_CASE(ATargetThatTurnsItAwayDoesntUndoTheOneBefore) {
+  Follow({{Happening::kHoldUnneeded, Action::kChoose},
+          {Happening::kTargetChosen, Action::kSend},
+          {Happening::kRetryMayHaveRun, Action::kChoose},
+          {Happening::kTargetChosen, Action::kSend},
+          {Happening::kGiveUpNotRun, Action::kFail}});
+}
+
+BOOST_AUTO_TEST_CASE(AHoldThatIsGrantedTooLateIsReturned) {
+  Follow({{Happening::kHoldDelayed, Action::kNone},
+          {Happening::kGiveUpNotRun, Action::kRefuse},
+          {Happening::kHoldGranted, Action::kReturnHold}});
+}
+
+BOOST_AUTO_TEST_CASE(ACallWhoseCallerHasLeftRunsToItsEnd) {
+  Follow({{Happening::kHoldUnneeded, Action::kChoose},
+          {Happening::kTargetChosen, Action::kSend},
+          {Happening::kCallerGoneCallRunsOn, Action::kNone},
+          {Happening::kAnswerComplete, Action::kAbandon}});
+}
+
+}  // namespace
+}  // namespace quaytrack
