--- a/relay/dialect.h
+++ b/relay/dialect.h
@@ -1,6 +1,16 @@
-// What the relay needs to know about requests and answers, apart from how they
-// are spelled. An interface to callers and targets implements these; the relay
-// knows none of their names.
+// The relay's interface to its surroundings: what it needs to know about
+// requests, answers and stored items, apart from how they are spelled. The
+// adapter to a platform implements these classes and decides nothing; the relay
+// knows none of the platform's names.
+//
+//   CallerDialect      a caller's head         ->  RequestFacts
+//   TargetDialect      SendFacts               ->  the head that a target gets
+//                      a target's head         ->  AnswerFacts
+//   SharedStateReader  an item of the store    ->  configuration, target
+//
+// Implementations keep no state, and outlive the router that uses them. What
+// can't be read is an error that names the field (HeaderError, ItemError).
+// Times are milliseconds, amounts are tokens.
 
 #ifndef QUAYTRACK_RELAY_DIALECT_H_
 #define QUAYTRACK_RELAY_DIALECT_H_
@@ -20,15 +30,20 @@
 
 namespace quaytrack {
 
-// A request's head, understood.
+// What a request's head says.
 struct RequestFacts {
   // Unique to one attempt of a caller; empty if it has none.
   RequestId id;
+  // How long the caller waits, from its first byte; nothing if it doesn't say.
   std::optional<std::chrono::milliseconds> time_left;
   // The caller's key; empty if it has none.
   std::string key;
+  // Size of the prompt, and the most that its answer may have; 0 for requests
+  // that are none of a model.
   Tokens prompt_tokens = 0;
   Tokens most_tokens_out = 0;
+  // The prompt's parts in their order, by which targets with a prefix cache are
+  // told apart; may be empty.
   std::vector<PromptPart> parts;
 };
 
@@ -39,13 +54,14 @@
   std::chrono::milliseconds time_left{};
   // 0 is the most urgent.
   int priority = 0;
-  // Where a broken stream goes on; empty for its beginning.
+  // The id of the event after which a broken stream goes on; empty to leave
+  // what the request says.
   std::string last_event;
 };
 
-// An answer's head, understood.
+// What an answer's head says.
 struct AnswerFacts {
-  // Empty if the answer doesn't say.
+  // The request that it answers; empty if it doesn't say.
   RequestId request;
   // The target did not run the request.
   bool not_run = false;
--- a/relay/events.h
+++ b/relay/events.h
@@ -2,11 +2,22 @@
 // pass, and lets only whole ones through.
 //
 //   EventReader reader;
-//   for (StreamEvents it = reader.Take(bytes); ...) forward it.bytes;
+//   const StreamEvents it = reader.Take(bytes);
+//   if (it.out_of_order) ...              // the target skipped an event
+//   caller.WriteChunk(it.bytes);
+//   ...
+//   reader.DropPartial();                 // another target goes on
+//   facts.last_event = reader.last_id();  // after this event
 //
-// A target may end in the middle of an event; what has come of it is kept back,
+// A target may end in the middle of an event. What has come of it is kept back,
 // so that a caller never sees a piece of one, and another target can go on
-// after the last whole event.
+// after the last whole event. That target may begin earlier than it was asked
+// to: events whose ids were passed on before are dropped.
+//
+// It owns the bytes of the event that is not yet whole and the id of the last
+// whole one, and relies on ids that are whole numbers and rise by one. Events
+// without such an id pass as they are. Bytes can't be refused: a stream that is
+// no stream of events is one event that never becomes whole.
 
 #ifndef QUAYTRACK_RELAY_EVENTS_H_
 #define QUAYTRACK_RELAY_EVENTS_H_
@@ -19,7 +30,7 @@
 
 namespace quaytrack {
 
-// Whole events, as they came.
+// Whole events, as they came, without those that were passed on before.
 struct StreamEvents {
   std::string bytes;
   int count = 0;
@@ -29,24 +40,8 @@
 
 class EventReader {
  public:
-  StreamEvents Take(std::string_view bytes) {
-    partial_.append(bytes);
-    StreamEvents out;
-    std::size_t used = 0;
-    while (true) {
-      const std::size_t end = partial_.find("\n\n", used);
-      if (end == std::string::npos) break;
-      const std::size_t next = end + 2;
-      const std::string_view event(partial_.data() + used, next - used);
-      if (IsNews(event, out)) {
-        out.bytes += event;
-        ++out.count;
-      }
-      used = next;
-    }
-    partial_.erase(0, used);
-    return out;
-  }
+  // Adds bytes as they came, and takes out the events that are whole by them.
+  StreamEvents Take(std::string_view bytes);
 
   // Some of an event has come, and not all.
   bool InEvent() const { return !partial_.empty(); }
@@ -58,8 +53,9 @@
   }
 
  private:
-  // False for an event that was passed on before.
-  bool IsNews(std::string_view event, StreamEvents& out) {
+  // False for an event that was passed on before. Notes its id, and in `out`
+  // whether it skips one.
+  bool IsNew(std::string_view event, StreamEvents& out) {
     const auto id = IdOf(event);
     if (!id) return true;
     if (last_id_ && *id <= *last_id_) return false;
@@ -68,6 +64,7 @@
     return true;
   }
 
+  // The number in the first `id:` line that has one.
   static std::optional<std::int64_t> IdOf(std::string_view event) {
     constexpr std::string_view kField = "id:";
     std::size_t at = 0;
@@ -90,6 +87,25 @@
   std::optional<std::int64_t> last_id_;
 };
 
+inline StreamEvents EventReader::Take(std::string_view bytes) {
+  partial_.append(bytes);
+  StreamEvents out;
+  std::size_t used = 0;
+  while (true) {
+    const std::size_t end = partial_.find("\n\n", used);
+    if (end == std::string::npos) break;
+    const std::size_t next = end + 2;
+    const std::string_view event(partial_.data() + used, next - used);
+    if (IsNew(event, out)) {
+      out.bytes += event;
+      ++out.count;
+    }
+    used = next;
+  }
+  partial_.erase(0, used);
+  return out;
+}
+
 }  // namespace quaytrack
 
 #endif  // QUAYTRACK_RELAY_EVENTS_H_
--- a/relay/relay_metrics.cc
+++ b/relay/relay_metrics.cc
@@ -5,6 +5,7 @@
 namespace quaytrack {
 namespace {
 
+// Upper bounds in seconds, each about twice the one before. Not measured.
 const prometheus::Histogram::BucketBoundaries kSeconds = {
     0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8};
 
--- a/relay/relay_metrics.h
+++ b/relay/relay_metrics.h
@@ -1,8 +1,17 @@
-// The relay's metrics, by prometheus-cpp.
+// The relay's metrics, by prometheus-cpp. Times are in seconds.
 //
-// Latency histograms are kept for each customer and kind of route. To bound
-// what a scrape costs, customers after the first `kMostCustomers` share the
-// label "other".
+//   quaytrack_requests_total       ends, by cause (relay/final_answer.h)
+//   quaytrack_retries_total        sends of a request beyond its first
+//   quaytrack_first_byte_seconds   to the first event, by customer and kind of
+//                                  route
+//   quaytrack_request_seconds      to the end, by customer
+//   quaytrack_state                gauges of the router, by name
+//
+//   metrics.CountEnd(customer, NameOf(cause), took);
+//   reply(metrics.Text());
+//
+// To bound what a scrape costs, customers after the first `kMostCustomers`
+// share the label "other".
 
 #ifndef QUAYTRACK_RELAY_RELAY_METRICS_H_
 #define QUAYTRACK_RELAY_RELAY_METRICS_H_
@@ -38,6 +47,7 @@
   std::string Text() const;
 
  private:
+  // Customers with labels of their own. Not measured.
   static constexpr std::size_t kMostCustomers = 50;
 
   std::string LabelFor(const CustomerName& customer);
