--- a/relay/attempt.cc
+++ b/relay/attempt.cc
@@ -10,24 +10,24 @@
 
 // How long a connection to a target may take to open; nothing of the request
 // has run by then, so another target may take it. Not measured.
-constexpr Duration kConnectPatience = milliseconds(250);
+constexpr Duration kConnectTimeout = milliseconds(250);
 
-// The patience with the first event of a stream, in parts of the time in which
+// The timeout of the first event of a stream, in parts of the time in which
 // the route wants it (`RouteRule::target_latency`). Raised from 1.25 by commit
 // 9ed3aa6, whose trial (scale-1, one run) had found 731,000 of 3.7M tokens
 // spent on sends that the router itself had given up. That commit changed three
 // other things as well: by itself this figure was not measured.
-constexpr double kStreamPatience = 2.6;
+constexpr double kStreamTimeoutFactor = 2.6;
 
 // The same for the whole answer of another route. Under 1, so that a second
 // target can still answer in time. Not measured.
-constexpr double kCallPatience = 0.8;
+constexpr double kCallTimeoutFactor = 0.8;
 
-// The patience with the next event, in parts of the longest pause that the
+// The timeout of the next event, in parts of the longest pause that the
 // route allows (`RouteRule::target_gap`), and the least of it: going on
 // elsewhere costs another read of the prompt. Neither was measured.
-constexpr double kGapPatience = 2.5;
-constexpr Duration kLeastGapPatience = milliseconds(1000);
+constexpr double kEventTimeoutFactor = 2.5;
+constexpr Duration kLeastEventTimeout = milliseconds(1000);
 
 Duration Scaled(milliseconds d, double x) {
   return duration_cast<Duration>(std::chrono::duration<double, std::milli>(
@@ -36,18 +36,20 @@
 
 }  // namespace
 
-Duration FirstAnswerPatience(const RouteRule& route, Duration left) {
+Duration FirstAnswerTimeout(const RouteRule& route, Duration left) {
   if (!route.Repeatable()) return left;
   const bool stream = route.kind == RouteKind::kStreaming;
-  return Scaled(route.target_latency, stream ? kStreamPatience : kCallPatience);
+  return Scaled(route.target_latency,
+                stream ? kStreamTimeoutFactor : kCallTimeoutFactor);
 }
 
-Duration ConnectPatience(const RouteRule& route, Duration left) {
-  return std::min(kConnectPatience, FirstAnswerPatience(route, left));
+Duration ConnectTimeout(const RouteRule& route, Duration left) {
+  return std::min(kConnectTimeout, FirstAnswerTimeout(route, left));
 }
 
-Duration NextEventPatience(const RouteRule& route) {
-  return std::max(kLeastGapPatience, Scaled(route.target_gap, kGapPatience));
+Duration NextEventTimeout(const RouteRule& route) {
+  return std::max(kLeastEventTimeout,
+                  Scaled(route.target_gap, kEventTimeoutFactor));
 }
 
 bool AnswersRequest(const AnswerFacts& answer, const RequestId& request) {
--- a/relay/attempt.h
+++ b/relay/attempt.h
@@ -3,13 +3,14 @@
 // attempt is over. They hold no state and read no clock; RelayedRequest keeps
 // the call and its timers, and relay/retry.h decides what comes next.
 //
-//   timer = loop.After(FirstAnswerPatience(route, left), ...);
+//   timer = loop.After(FirstAnswerTimeout(route, left), ...);
 //   const AttemptVerdict it = JudgeAttempt({end, answer, status, ...});
 //   if (!it.answered) ...  // `it.ran` decides whether it may be sent again
 //
-// Patience. An attempt that takes too long is stopped only if the request may
+// Timeouts. An attempt that takes too long is stopped only if the request may
 // be sent to another target; else waiting on is the best that can be done for
-// the caller, and only its deadline ends it.
+// the caller, and only its deadline ends it. An attempt whose connection has
+// not opened in time is ended in any case, as nothing of it has run.
 //
 // What an answer means. A success is passed on only with the seal by which its
 // target vouches for it, and only whole. Errors carry no seal and are passed on
@@ -32,18 +33,18 @@
 inline bool IsSuccess(int status) { return status >= 200 && status < 300; }
 inline bool IsServerError(int status) { return status >= 500; }
 
-// --- Patience ----------------------------------------------------------------
+// --- Timeouts ----------------------------------------------------------------
 
 // From the send to the first byte of the answer's body that counts: the first
 // event of a stream, or the end of another answer. `left` is the time until the
 // request's deadline.
-Duration FirstAnswerPatience(const RouteRule& route, Duration left);
+Duration FirstAnswerTimeout(const RouteRule& route, Duration left);
 
 // From the send until the connection has opened and taken a first byte.
-Duration ConnectPatience(const RouteRule& route, Duration left);
+Duration ConnectTimeout(const RouteRule& route, Duration left);
 
 // From one event of a stream to the next.
-Duration NextEventPatience(const RouteRule& route);
+Duration NextEventTimeout(const RouteRule& route);
 
 // --- Answers -----------------------------------------------------------------
 
--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -144,8 +144,8 @@
   on.end = [self](CallEnd end) { self->OnCallEnd(end); };
   call_ = context_.targets.Start(MakeCall(), std::move(on));
   const RouteRule& route = *admission_.route;
-  WatchAttempt(call_->connecting() ? ConnectPatience(route, Left())
-                                   : FirstAnswerPatience(route, Left()));
+  SetAttemptTimer(call_->connecting() ? ConnectTimeout(route, Left())
+                                      : FirstAnswerTimeout(route, Left()));
 }
 
 TargetCall RelayedRequest::MakeCall() const {
@@ -165,21 +165,21 @@
   return out;
 }
 
-void RelayedRequest::WatchAttempt(Duration patience) {
-  patience_timer_ = context_.loop.After(patience, [this] { OnPatienceOver(); });
+void RelayedRequest::SetAttemptTimer(Duration timeout) {
+  attempt_timer_ = context_.loop.After(timeout, [this] { OnAttemptTimeout(); });
 }
 
-void RelayedRequest::OnPatienceOver() {
+void RelayedRequest::OnAttemptTimeout() {
   const auto self = shared_from_this();
   if (!call_) return;
   if (RanInAttempt() == Ran::kNo) {
     return EndAttempt(Ran::kNo, PlacementOutcome::kFailed);
   }
-  // The connection has opened in time; the answer has a patience of its own.
+  // The connection has opened in time; the answer has a timeout of its own.
   const Duration waited = context_.clock.Now() - sent_at_;
-  const Duration patience = FirstAnswerPatience(*admission_.route, Left());
+  const Duration timeout = FirstAnswerTimeout(*admission_.route, Left());
   const bool answering = machine_.state() == RelayState::kStreaming;
-  if (!answering && waited < patience) return WatchAttempt(patience - waited);
+  if (!answering && waited < timeout) return SetAttemptTimer(timeout - waited);
   // Not stopped for nothing: only if it may be sent to another target. So the
   // retry is taken first here, and last in `EndAttempt`.
   if (!TakeRetry(Ran::kUnknown)) return;
@@ -219,7 +219,7 @@
   progress_.events += events.count;
   caller_->WriteChunk(events.bytes);
   const RouteRule& route = *admission_.route;
-  if (route.Repeatable()) WatchAttempt(NextEventPatience(route));
+  if (route.Repeatable()) SetAttemptTimer(NextEventTimeout(route));
   if (paused_ || caller_->Unsent() <= kMostUnsent) return;
   paused_ = true;
   call_->PauseReading();
@@ -238,7 +238,7 @@
   context_.metrics.ObserveFirstByte(customer(), admission_.route->kind,
                                     context_.clock.Now() - request_.begun);
   caller_->StartStream(HeadForCaller(answer_));
-  patience_timer_.reset();
+  attempt_timer_.reset();
   caller_->OnDrained([self = shared_from_this()] {
     if (!self->paused_) return;
     self->paused_ = false;
@@ -277,7 +277,7 @@
   if (!call_) return;
   call_->Cancel();
   call_.reset();
-  patience_timer_.reset();
+  attempt_timer_.reset();
   context_.placement.OnEnded(context_.clock.Now(), progress_.choice.target.name,
                              prefill_, outcome);
   prefill_ = 0;
--- a/relay/relayed_request.h
+++ b/relay/relayed_request.h
@@ -85,8 +85,8 @@
   // The attempt at one target.
   void Send();
   TargetCall MakeCall() const;
-  void WatchAttempt(Duration patience);
-  void OnPatienceOver();
+  void SetAttemptTimer(Duration timeout);
+  void OnAttemptTimeout();
   bool OnHead(const HttpHead& head);
   void OnBody(std::string_view bytes);
   void PassOnEvents(std::string_view bytes);
@@ -126,7 +126,7 @@
   // The attempt. `call_` is there while the request is at a target; the rest
   // stays as the latest attempt has left it.
   std::shared_ptr<CallHandle> call_;
-  std::unique_ptr<Timer> patience_timer_;
+  std::unique_ptr<Timer> attempt_timer_;
   Instant sent_at_{};
   // Tokens of the prompt that its target has still to prefill.
   Tokens prefill_ = 0;
--- a/relay/testing/attempt_test.cc
+++ b/relay/testing/attempt_test.cc
@@ -26,29 +26,29 @@
 constexpr Duration kLeft = milliseconds(5000);
 
 BOOST_AUTO_TEST_CASE(WhatMayBeRepeatedIsWaitedForInPartsOfItsObjective) {
-  BOOST_TEST((FirstAnswerPatience(Route(RouteKind::kIdempotent), kLeft) ==
+  BOOST_TEST((FirstAnswerTimeout(Route(RouteKind::kIdempotent), kLeft) ==
               milliseconds(800)));
-  BOOST_TEST((FirstAnswerPatience(Resumable(), kLeft) == milliseconds(2600)));
+  BOOST_TEST((FirstAnswerTimeout(Resumable(), kLeft) == milliseconds(2600)));
 }
 
 BOOST_AUTO_TEST_CASE(WhatMustNotBeRepeatedIsWaitedForUntilItsDeadline) {
   BOOST_TEST(
-      (FirstAnswerPatience(Route(RouteKind::kNonIdempotent), kLeft) == kLeft));
+      (FirstAnswerTimeout(Route(RouteKind::kNonIdempotent), kLeft) == kLeft));
   BOOST_TEST(
-      (FirstAnswerPatience(Route(RouteKind::kStreaming), kLeft) == kLeft));
+      (FirstAnswerTimeout(Route(RouteKind::kStreaming), kLeft) == kLeft));
 }
 
 BOOST_AUTO_TEST_CASE(AConnectionHasLessTimeThanItsAnswer) {
   const RouteRule once = Route(RouteKind::kNonIdempotent);
-  BOOST_TEST((ConnectPatience(once, kLeft) == milliseconds(250)));
-  BOOST_TEST((ConnectPatience(once, milliseconds(90)) == milliseconds(90)));
+  BOOST_TEST((ConnectTimeout(once, kLeft) == milliseconds(250)));
+  BOOST_TEST((ConnectTimeout(once, milliseconds(90)) == milliseconds(90)));
 }
 
 BOOST_AUTO_TEST_CASE(APauseIsWaitedForInPartsOfTheLongestOne) {
   RouteRule route = Resumable();
-  BOOST_TEST((NextEventPatience(route) == milliseconds(2000)));
+  BOOST_TEST((NextEventTimeout(route) == milliseconds(2000)));
   route.target_gap = milliseconds(100);
-  BOOST_TEST((NextEventPatience(route) == milliseconds(1000)));
+  BOOST_TEST((NextEventTimeout(route) == milliseconds(1000)));
 }
 
 BOOST_AUTO_TEST_CASE(OnlyTheAnswerToThisRequestIsWaitedFor) {
