--- a/dispatch/testing/link_watch_test.cc
+++ b/dispatch/testing/link_watch_test.cc
@@ -38,6 +38,39 @@
   BOOST_TEST(changes == 2);
 }
 
+BOOST_FIXTURE_TEST_CASE(SendingAloneFillsALink, Fixture) {
+  double out = 0;
+  for (int n = 0; n < 20; ++n) {
+    now += std::chrono::milliseconds(200);
+    out += kLink / 5;
+    watch.Observe(now, 0, out);
+  }
+  BOOST_TEST(watch.IsBusy());
+}
+
+BOOST_FIXTURE_TEST_CASE(BusyFromSixTenthsAndEasedBelowFortyFiveHundredths,
+                        Fixture) {
+  Carry(0.59, 100);
+  BOOST_TEST(!watch.IsBusy());
+  Carry(0.61, 100);
+  BOOST_TEST(watch.IsBusy());
+  Carry(0.46, 100);
+  BOOST_TEST(watch.IsBusy());
+  Carry(0.44, 100);
+  BOOST_TEST(!watch.IsBusy());
+}
+
+BOOST_FIXTURE_TEST_CASE(TheLoadIsSmoothedOverSevenTenthsOfASecond, Fixture) {
+  Carry(0, 1);
+  for (int n = 0; n < 7; ++n) {
+    now += std::chrono::milliseconds(100);
+    in += kLink / 10;
+    watch.Observe(now, in, 0);
+  }
+  // 1 - 1/e of a step after the time constant.
+  BOOST_TEST(watch.load() == 0.6321, boost::test_tools::tolerance(1e-3));
+}
+
 BOOST_FIXTURE_TEST_CASE(AnUnknownLinkIsNeverBusy, Fixture) {
   watch = LinkWatch({});
   Carry(50, 20);
--- a/dispatch/testing/placement_test.cc
+++ b/dispatch/testing/placement_test.cc
@@ -145,6 +145,221 @@
   BOOST_TEST((it.Choose(kStart, request)->target.name != TargetName("t1")));
 }
 
+// Two targets of one service, of which `busy` has so much to do that any other
+// is cheaper, whatever it is charged for failures.
+struct OneBusyTarget {
+  OneBusyTarget() {
+    it.SetTargets(Targets(kDesk, 2));
+    request.service = kDesk;
+    for (int n = 0; n < 1200; ++n) it.OnSent(kStart, busy, request, false);
+  }
+
+  void Fail(int times, PlacementOutcome outcome = PlacementOutcome::kFailed) {
+    for (int n = 0; n < times; ++n) {
+      it.OnSent(kStart, other, request, false);
+      it.OnEnded(kStart, other, 0, outcome);
+    }
+  }
+
+  bool OtherIsChosen(Duration after) const {
+    return it.Choose(kStart + after, request)->target.name == other;
+  }
+
+  const TargetName busy{"t0"};
+  const TargetName other{"t1"};
+  Placement it{InHall("hall-0")};
+  PlacementRequest request;
+};
+
+BOOST_FIXTURE_TEST_CASE(AnEjectedTargetIsNotChosenHoweverBusyTheOthersAre,
+                        OneBusyTarget) {
+  Fail(2);
+  BOOST_TEST(OtherIsChosen(Duration::zero()));
+  Fail(1);
+  BOOST_TEST(!OtherIsChosen(Duration::zero()));
+  BOOST_TEST(!OtherIsChosen(milliseconds(499)));
+  BOOST_TEST(OtherIsChosen(milliseconds(500)));
+}
+
+BOOST_AUTO_TEST_CASE(AnEjectionDoublesWithEachFailureUpToFourSeconds) {
+  for (const auto& [failures, ms] : std::map<int, int>{
+           {3, 500}, {4, 1000}, {5, 2000}, {6, 4000}, {7, 4000}, {40, 4000}}) {
+    OneBusyTarget pair;
+    pair.Fail(failures);
+    BOOST_TEST(!pair.OtherIsChosen(milliseconds(ms - 1)), failures);
+    BOOST_TEST(pair.OtherIsChosen(milliseconds(ms)), failures);
+  }
+}
+
+BOOST_FIXTURE_TEST_CASE(ASuccessEndsAnEjectionAndTheRowOfFailures,
+                        OneBusyTarget) {
+  Fail(3);
+  Fail(1, PlacementOutcome::kGood);
+  BOOST_TEST(OtherIsChosen(Duration::zero()));
+  Fail(2);
+  BOOST_TEST(OtherIsChosen(Duration::zero()));
+}
+
+BOOST_FIXTURE_TEST_CASE(BeingTurnedAwayCountsAsAFailureAndNeutralAsNothing,
+                        OneBusyTarget) {
+  Fail(9, PlacementOutcome::kNeutral);
+  BOOST_TEST(OtherIsChosen(Duration::zero()));
+  Fail(2);
+  Fail(9, PlacementOutcome::kNeutral);
+  Fail(1, PlacementOutcome::kTurnedAway);
+  BOOST_TEST(!OtherIsChosen(Duration::zero()));
+}
+
+BOOST_AUTO_TEST_CASE(AFailureIsChargedAndHalvesInThreeSeconds) {
+  Placement it(InHall("hall-0"));
+  it.SetTargets(Targets(kDesk, 1));
+  PlacementRequest request;
+  request.service = kDesk;
+  const auto cost = [&](Duration after) {
+    return it.Choose(kStart + after, request)->cost_ms;
+  };
+  BOOST_TEST(cost(Duration::zero()) == 40);
+  it.OnSent(kStart, TargetName("t0"), request, false);
+  it.OnEnded(kStart, TargetName("t0"), 0, PlacementOutcome::kFailed);
+  BOOST_TEST(cost(Duration::zero()) == 40 + 800,
+             boost::test_tools::tolerance(1e-6));
+  BOOST_TEST(cost(milliseconds(3000)) == 40 + 400,
+             boost::test_tools::tolerance(1e-6));
+  BOOST_TEST(cost(milliseconds(6000)) == 40 + 200,
+             boost::test_tools::tolerance(1e-6));
+}
+
+BOOST_AUTO_TEST_CASE(ALeavingTargetIsNotTheHomeOfAPart) {
+  Placement it(InHall("hall-0"));
+  auto targets = Targets(kEngines, 6);
+  it.SetTargets(targets);
+  const TargetName home = it.Choose(kStart, Prompt(7, 1))->target.name;
+  targets[home].leaving = true;
+  it.SetTargets(targets);
+  const auto choice = it.Choose(kStart, Prompt(7, 1));
+  BOOST_TEST((choice->target.name != home));
+  BOOST_TEST(choice->is_home);
+}
+
+BOOST_AUTO_TEST_CASE(ATargetOfAnotherServiceIsNotChosen) {
+  Placement it(InHall("hall-0"));
+  auto targets = Targets(kEngines, 6);
+  targets[TargetName("t5")].service = kDesk;
+  it.SetTargets(targets);
+  for (std::uint64_t part = 1; part <= 40; ++part) {
+    const auto choice = it.Choose(kStart, Prompt(part, 900 + part));
+    BOOST_TEST((choice->target.name != TargetName("t5")));
+    BOOST_TEST(choice->is_home);
+  }
+}
+
+// One engine in the router's hall: what it is expected to cost shows what is
+// known of it.
+struct OneEngine {
+  OneEngine() { it.SetTargets(Targets(kEngines, 1)); }
+
+  double Cost(const PlacementRequest& request) const {
+    return it.Choose(kStart, request)->cost_ms;
+  }
+  Tokens Send(const PlacementRequest& request, bool is_home) {
+    return it.OnSent(kStart, engine, request, is_home);
+  }
+
+  const TargetName engine{"t0"};
+  Placement it{InHall("hall-0")};
+};
+
+BOOST_FIXTURE_TEST_CASE(AnEngineIsChargedWhatItHasYetToRead, OneEngine) {
+  // Its home: the last part alone, 3000 tokens at 50 a millisecond, and 40 ms.
+  BOOST_TEST(Cost(Prompt(7, 1)) == 60 + 40);
+  const Tokens unread = Send(Prompt(7, 1), true);
+  BOOST_TEST(unread == 3000);
+  // Beside it: its 60 ms and 3 ms for each running request.
+  BOOST_TEST(Cost(Prompt(7, 2)) == 60 + 60 + 3 + 40);
+  it.OnAnswering(engine, unread, milliseconds(100));
+  BOOST_TEST(Cost(Prompt(7, 2)) == 60 + 3 + 40);
+  it.OnEnded(kStart, engine, 0, PlacementOutcome::kGood);
+  BOOST_TEST(Cost(Prompt(7, 2)) == 60 + 40);
+}
+
+BOOST_FIXTURE_TEST_CASE(WhatARequestLeftUnreadGoesWithIt, OneEngine) {
+  const Tokens unread = Send(Prompt(7, 1), true);
+  it.OnEnded(kStart, engine, unread, PlacementOutcome::kNeutral);
+  BOOST_TEST(Cost(Prompt(7, 2)) == 60 + 40);
+}
+
+BOOST_FIXTURE_TEST_CASE(AnEngineKeepsThePartsThatItWasSentTogether, OneEngine) {
+  PlacementRequest request;
+  request.service = kEngines;
+  request.parts = {{1, 1000}, {2, 2000}, {3, 4000}, {4, 500}};
+  request.prompt_tokens = 7500;
+  BOOST_TEST(Send(request, false) == 7500);
+  BOOST_TEST(Send(request, false) == 500);
+  // Parts count only together with all before them.
+  request.parts[1].id = 9;
+  BOOST_TEST(Send(request, false) == 6500);
+}
+
+BOOST_FIXTURE_TEST_CASE(ThePartsLeastRecentlySentAreForgotten, OneEngine) {
+  Instant now = kStart;
+  for (std::uint64_t part = 1; part <= 257; ++part) {
+    now += milliseconds(1);
+    it.OnSent(now, engine, Prompt(part, 9000 + part), false);
+  }
+  BOOST_TEST(Send(Prompt(2, 1), false) == 3000);
+  BOOST_TEST(Send(Prompt(1, 1), false) == 16000);
+}
+
+BOOST_FIXTURE_TEST_CASE(ASlowAnswerMakesAnEngineDearer, OneEngine) {
+  const Tokens unread = Send(Prompt(7, 1), true);
+  // Ten times the 100 ms that were expected.
+  it.OnAnswering(engine, unread, milliseconds(1000));
+  it.OnEnded(kStart, engine, 0, PlacementOutcome::kGood);
+  BOOST_TEST(Cost(Prompt(7, 2)) == 100 * 2.8,
+             boost::test_tools::tolerance(1e-6));
+  // Faster than expected is as good as expected.
+  const Tokens next = Send(Prompt(7, 3), true);
+  it.OnAnswering(engine, next, milliseconds(1));
+  it.OnEnded(kStart, engine, 0, PlacementOutcome::kGood);
+  BOOST_TEST(Cost(Prompt(7, 2)) == 100 * 2.44,
+             boost::test_tools::tolerance(1e-6));
+}
+
+BOOST_FIXTURE_TEST_CASE(ASlownessIsBoundedAtTwentyTimes, OneEngine) {
+  const Tokens unread = Send(Prompt(7, 1), true);
+  it.OnAnswering(engine, unread, std::chrono::hours(1));
+  it.OnEnded(kStart, engine, 0, PlacementOutcome::kGood);
+  BOOST_TEST(Cost(Prompt(7, 2)) == 100 * 4.8,
+             boost::test_tools::tolerance(1e-6));
+}
+
+BOOST_AUTO_TEST_CASE(APartStaysAtItsHomeUntilAnotherIsCheaperByTheCharge) {
+  Placement it(InHall("hall-0"));
+  it.SetTargets(Targets(kEngines, 2));
+  int sent = 0;
+  for (std::uint64_t n = 1; n <= 20; ++n) {
+    const PlacementRequest request = Prompt(7, 1000 + n);
+    const auto choice = it.Choose(kStart, request);
+    if (!choice->is_home) break;
+    it.OnSent(kStart, choice->target.name, request, true);
+    ++sent;
+  }
+  // There: 100 ms and 63 ms for each before. Elsewhere: 320 ms to read all,
+  // 40 ms, and 150 ms as it isn't the home.
+  BOOST_TEST(sent == 7);
+}
+
+BOOST_AUTO_TEST_CASE(ATargetThatStaysKeepsWhatIsKnownOfIt) {
+  OneEngine one;
+  one.Send(Prompt(7, 1), true);
+  one.it.SetTargets(Targets(kEngines, 1));
+  BOOST_TEST(one.Cost(Prompt(7, 2)) == 60 + 60 + 3 + 40);
+  // One that was gone is new when it comes again.
+  one.it.SetTargets({});
+  one.it.SetTargets(Targets(kEngines, 1));
+  BOOST_TEST(one.Cost(Prompt(7, 2)) == 60 + 40);
+}
+
 BOOST_AUTO_TEST_CASE(AllRoutersTogetherKeepToTheRetryRule) {
   RetryShareOptions options;
   options.ratio = 0.2;
@@ -164,6 +379,18 @@
   BOOST_TEST(retries <= options.ratio * kRequests + options.slack);
 }
 
+BOOST_AUTO_TEST_CASE(AFifthOfTheAllowedRetriesIsLeftUnused) {
+  RetryShareOptions options;
+  options.ratio = 0.2;
+  options.slack = 50;
+  RetryShare it(options);
+  for (int n = 0; n < 100; ++n) it.OnRequest(kStart);
+  int retries = 0;
+  while (it.TryRetry(kStart)) ++retries;
+  // 0.8 of 20 for the requests and 50 of slack.
+  BOOST_TEST(retries == 56);
+}
+
 BOOST_AUTO_TEST_CASE(RetriesComeBackWhenTheWindowHasPassed) {
   RetryShare it({});
   while (it.TryRetry(kStart)) continue;
