--- /dev/null
+++ b/http/testing/connections_test.cc
@@ -0,0 +1,324 @@
+// Connections to targets and from callers, over loopback: what a failure says
+// about the request, and which connections are used again.
+
+#include <boost/test/unit_test.hpp>
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "base/clock.h"
+#include "http/caller_connection.h"
+#include "http/target_connection.h"
+
+namespace quaytrack {
+namespace {
+
+using std::chrono::milliseconds;
+
+constexpr char kRequest[] = "GET /a HTTP/1.1\r\nHost: h\r\nX-Id: 1\r\n\r\n";
+constexpr char kAnswer[] =
+    "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok";
+constexpr char kForeign[] =
+    "HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 2\r\n\r\nno";
+
+// A target that answers each read on a connection with the next of `answers`;
+// an empty one closes the connection.
+struct Target {
+  explicit Target(Loop& it) : loop(it) {
+    port = listener.Listen("127.0.0.1:0");
+  }
+
+  void Accept(int fd) {
+    auto socket = TcpSocket::Adopt(loop, fd, TcpOptions());
+    TcpSocket::Handlers on;
+    TcpSocket* raw = socket.get();
+    on.data = [this, raw](std::string_view bytes) {
+      received += bytes;
+      if (answers.empty()) return;
+      const std::string answer = answers.front();
+      answers.erase(answers.begin());
+      if (answer.empty()) return raw->Close();
+      raw->Write(answer);
+      if (close_after_answer) raw->Close();
+    };
+    socket->SetHandlers(std::move(on));
+    sockets.push_back(std::move(socket));
+  }
+
+  std::string Address() const { return "127.0.0.1:" + std::to_string(port); }
+
+  Loop& loop;
+  TcpListener listener{loop, [this](int fd) { Accept(fd); }};
+  std::uint16_t port = 0;
+  std::vector<std::string> answers;
+  bool close_after_answer = false;
+  std::string received;
+  std::vector<std::shared_ptr<TcpSocket>> sockets;
+};
+
+struct Result {
+  std::optional<CallEnd> end;
+  int heads = 0;
+  std::string body;
+};
+
+struct Fixture {
+  // Runs the loop until the call has ended, or for as long as given.
+  Result Call(const std::string& address, const std::string& bytes = kRequest,
+              Duration patience = std::chrono::seconds(5)) {
+    Result out;
+    CallHandle::Handlers on;
+    on.head = [&](const HttpHead& head) {
+      ++out.heads;
+      return *head.Find("X-Id") == "1";
+    };
+    on.body = [&](std::string_view it) { out.body += it; };
+    on.end = [&](CallEnd it) {
+      out.end = it;
+      loop.Stop();
+    };
+    const auto call = connections.Start({address, bytes}, std::move(on));
+    RunFor(patience);
+    if (!out.end) call->Cancel();
+    return out;
+  }
+
+  void RunFor(Duration d) {
+    const auto timer = loop.After(d, [&] { loop.Stop(); });
+    loop.Run();
+  }
+
+  SystemClock clock;
+  Loop loop;
+  Target target{loop};
+  TargetConnections connections{loop, clock};
+};
+
+BOOST_FIXTURE_TEST_CASE(AConnectionIsUsedAgainAfterACleanExchange, Fixture) {
+  target.answers = {kAnswer, kAnswer};
+  for (int n = 0; n < 2; ++n) {
+    const Result it = Call(target.Address());
+    BOOST_TEST((it.end == CallEnd::kComplete));
+    BOOST_TEST(it.body == "ok");
+  }
+  BOOST_TEST(connections.opened() == 1U);
+}
+
+BOOST_FIXTURE_TEST_CASE(AnAnswerToAnotherRequestIsReadPast, Fixture) {
+  target.answers = {std::string(kForeign) + kAnswer, kAnswer};
+  const Result it = Call(target.Address());
+  BOOST_TEST((it.end == CallEnd::kComplete));
+  BOOST_TEST(it.heads == 2);
+  BOOST_TEST(it.body == "ok");
+  Call(target.Address());
+  BOOST_TEST(connections.opened() == 2U);
+}
+
+BOOST_FIXTURE_TEST_CASE(BytesAfterAnAnswerEndItsConnection, Fixture) {
+  target.answers = {std::string(kAnswer) + kForeign, kAnswer};
+  BOOST_TEST((Call(target.Address()).end == CallEnd::kComplete));
+  BOOST_TEST(Call(target.Address()).body == "ok");
+  BOOST_TEST(connections.opened() == 2U);
+}
+
+BOOST_FIXTURE_TEST_CASE(BytesThatNobodyWaitsForEndAnIdleConnection, Fixture) {
+  target.answers = {kAnswer, kAnswer};
+  Call(target.Address());
+  target.sockets.at(0)->Write(kForeign);
+  RunFor(milliseconds(50));
+  BOOST_TEST(Call(target.Address()).body == "ok");
+  BOOST_TEST(connections.opened() == 2U);
+}
+
+BOOST_FIXTURE_TEST_CASE(AnIdleConnectionIsClosedBeforeItsTargetCloses,
+                        Fixture) {
+  std::string answer = kAnswer;
+  answer.insert(answer.find("X-Id"), "Keep-Alive: timeout=1\r\n");
+  target.answers = {answer, kAnswer};
+  Call(target.Address());
+  // A sweep comes each half second; the margin is more than the time given.
+  RunFor(milliseconds(700));
+  Call(target.Address());
+  BOOST_TEST(connections.opened() == 2U);
+}
+
+BOOST_FIXTURE_TEST_CASE(AnInterimAnswerIsNotTheAnswer, Fixture) {
+  target.answers = {std::string("HTTP/1.1 100 Continue\r\n\r\n") + kAnswer};
+  const Result it = Call(target.Address());
+  BOOST_TEST(it.heads == 1);
+  BOOST_TEST(it.body == "ok");
+}
+
+BOOST_FIXTURE_TEST_CASE(ARefusedConnectionHasNotSentTheRequest, Fixture) {
+  target.listener.Stop();
+  BOOST_TEST((Call(target.Address()).end == CallEnd::kNotSent));
+  BOOST_TEST((Call("no address").end == CallEnd::kNotSent));
+}
+
+BOOST_FIXTURE_TEST_CASE(ACloseAfterTheRequestMayHaveRunIt, Fixture) {
+  target.answers = {""};
+  BOOST_TEST((Call(target.Address()).end == CallEnd::kBroken));
+}
+
+BOOST_FIXTURE_TEST_CASE(AnAnswerCutShortMayHaveRun, Fixture) {
+  target.close_after_answer = true;
+  target.answers = {
+      "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 9\r\n\r\nok"};
+  const Result it = Call(target.Address());
+  BOOST_TEST((it.end == CallEnd::kBroken));
+  BOOST_TEST(it.body == "ok");
+}
+
+BOOST_FIXTURE_TEST_CASE(AnAnswerWithoutLengthEndsWithItsConnection, Fixture) {
+  target.close_after_answer = true;
+  target.answers = {"HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nok"};
+  BOOST_TEST((Call(target.Address()).end == CallEnd::kComplete));
+}
+
+BOOST_FIXTURE_TEST_CASE(BytesThatAreNoAnswerMayHaveRun, Fixture) {
+  target.answers = {"garbage\r\n\r\n"};
+  BOOST_TEST((Call(target.Address()).end == CallEnd::kBroken));
+}
+
+// The other side: a caller that is a plain socket.
+struct CallerFixture {
+  CallerFixture() {
+    server.Serve([this](const std::shared_ptr<CallerConnection>& caller,
+                        CallerRequest request) {
+      requests.push_back(std::move(request));
+      if (handler) handler(*caller);
+    });
+    const std::uint16_t port = server.Listen("127.0.0.1:0");
+    TcpSocket::Handlers on;
+    on.data = [this](std::string_view bytes) { received += bytes; };
+    on.ended = [this](SocketEnd) { ended = true; };
+    socket = TcpSocket::Connect(loop, "127.0.0.1:" + std::to_string(port),
+                                TcpOptions(), std::move(on));
+  }
+
+  void Send(std::string_view bytes) {
+    socket->Write(bytes);
+    RunFor(milliseconds(50));
+  }
+  void RunFor(Duration d) {
+    const auto timer = loop.After(d, [&] { loop.Stop(); });
+    loop.Run();
+  }
+
+  SystemClock clock;
+  Loop loop;
+  CallerServer server{loop, clock};
+  std::function<void(CallerConnection&)> handler;
+  std::vector<CallerRequest> requests;
+  std::shared_ptr<TcpSocket> socket;
+  std::string received;
+  bool ended = false;
+};
+
+void ReplyOk(CallerConnection& caller) {
+  HttpHead head;
+  head.status = 200;
+  caller.Reply(head, "ok");
+}
+
+BOOST_FIXTURE_TEST_CASE(RequestsSentTogetherAreAnsweredInTurn, CallerFixture) {
+  handler = ReplyOk;
+  Send(std::string(kRequest) + kRequest);
+  BOOST_TEST(requests.size() == 2U);
+  const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+  BOOST_TEST(received == answer + answer);
+  BOOST_TEST(!ended);
+}
+
+BOOST_FIXTURE_TEST_CASE(AClosingServerEndsEachConnectionWithItsAnswer,
+                        CallerFixture) {
+  handler = ReplyOk;
+  server.StartClosing();
+  Send(std::string(kRequest) + kRequest);
+  BOOST_TEST(requests.size() == 1U);
+  BOOST_TEST(received ==
+             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\n"
+             "ok");
+  BOOST_TEST(ended);
+}
+
+BOOST_FIXTURE_TEST_CASE(AStreamThatIsAbortedDoesNotLookComplete,
+                        CallerFixture) {
+  handler = [](CallerConnection& caller) {
+    HttpHead head;
+    head.status = 200;
+    caller.StartStream(head);
+    caller.WriteChunk("some");
+    caller.Abort();
+  };
+  Send(kRequest);
+  BOOST_TEST(received ==
+             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+             "4\r\nsome\r\n");
+  BOOST_TEST(ended);
+}
+
+BOOST_FIXTURE_TEST_CASE(AStreamEndsWithItsLastChunk, CallerFixture) {
+  handler = [](CallerConnection& caller) {
+    HttpHead head;
+    head.status = 200;
+    caller.StartStream(head);
+    caller.WriteChunk("sixteen bytes ..");
+    caller.EndStream();
+  };
+  Send(kRequest);
+  BOOST_TEST(received.ends_with("10\r\nsixteen bytes ..\r\n0\r\n\r\n"));
+  BOOST_TEST(!ended);
+}
+
+BOOST_FIXTURE_TEST_CASE(AStreamThatBeganBeforeTheServerClosesEndsItsConnection,
+                        CallerFixture) {
+  handler = [this](CallerConnection& caller) {
+    HttpHead head;
+    head.status = 200;
+    caller.StartStream(head);
+    server.StartClosing();
+    caller.EndStream();
+  };
+  Send(std::string(kRequest) + kRequest);
+  BOOST_TEST(requests.size() == 1U);
+  BOOST_TEST(received.ends_with("\r\n0\r\n\r\n"));
+  BOOST_TEST(ended);
+}
+
+BOOST_FIXTURE_TEST_CASE(ARequestThatIsNoneIsRefusedHere, CallerFixture) {
+  CallerLimits limits;
+  limits.http.max_body_bytes = 4;
+  server.SetLimits(limits);
+  Send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello");
+  BOOST_TEST(requests.empty());
+  BOOST_TEST(received.starts_with("HTTP/1.1 413 "));
+  BOOST_TEST(ended);
+}
+
+BOOST_FIXTURE_TEST_CASE(ACallerThatLeavesIsToldOnce, CallerFixture) {
+  int gone = 0;
+  handler = [&](CallerConnection& caller) {
+    caller.OnGone([&gone] { ++gone; });
+  };
+  Send(kRequest);
+  socket->Close();
+  RunFor(milliseconds(50));
+  BOOST_TEST(gone == 1);
+  BOOST_TEST(server.connections() == 0U);
+}
+
+BOOST_FIXTURE_TEST_CASE(ASlowHeadIsAnsweredAndASilentConnectionClosed,
+                        CallerFixture) {
+  CallerLimits limits;
+  limits.head_timeout = milliseconds(100);
+  limits.idle_timeout = milliseconds(100);
+  server.SetLimits(limits);
+  Send("GET / HTTP/1.1\r\n");
+  RunFor(milliseconds(700));
+  BOOST_TEST(received.starts_with("HTTP/1.1 408 "));
+}
+
+}  // namespace
+}  // namespace quaytrack
