--- a/dispatch/placement.cc
+++ b/dispatch/placement.cc
@@ -42,14 +42,6 @@
   for (const auto& [name, entry] : entries) targets_[name].entry = entry;
 }
 
-int Placement::Count(const ServiceName& service) const {
-  return static_cast<int>(
-      std::count_if(targets_.begin(), targets_.end(), [&](const auto& it) {
-        const TargetEntry& entry = it.second.entry;
-        return entry.service == service && !entry.leaving;
-      }));
-}
-
 const Placement::State* Placement::HomeOf(
     const PlacementRequest& request) const {
   const auto part = SharedPart(request);
--- a/dispatch/placement.h
+++ b/dispatch/placement.h
@@ -96,8 +96,6 @@
   // The target, or nothing if every one is leaving, tried or resting.
   std::optional<PlacementChoice> Choose(Instant now,
                                         const PlacementRequest& request) const;
-  // How many targets of the service are not leaving.
-  int Count(const ServiceName& service) const;
 
   // Returns the tokens that the target is expected to read for it. `is_home`
   // is as `Choose` has found it.
