--- a/dispatch/placement.cc
+++ b/dispatch/placement.cc
@@ -1,7 +1,6 @@
 #include "dispatch/placement.h"
 
 #include <algorithm>
-#include <cmath>
 #include <utility>
 
 #include "base/digest.h"
@@ -9,14 +8,9 @@
 namespace quaytrack {
 namespace {
 
-// Weight of one request in the smoothed figures of a target.
+// Weight of the newest answer in a target's slowness.
 constexpr double kSmoothing = 0.2;
-// After this, a failure counts half.
-constexpr double kFailureHalfLife = 3.0;
 constexpr double kMostSlowness = 20;
-constexpr int kFailuresBeforeRest = 3;
-constexpr Duration kShortestRest = std::chrono::milliseconds(500);
-constexpr int kMostRestDoublings = 3;
 // First part of an answer's time that doesn't depend on the prompt.
 constexpr double kFixedAnswerMs = 40;
 
@@ -24,10 +18,6 @@
   return std::chrono::duration<double, std::milli>(d).count();
 }
 
-double Decayed(double failures, Duration age) {
-  return failures * std::exp2(-ToSeconds(age) / kFailureHalfLife);
-}
-
 // The deepest part that other requests may share; the last is its own.
 std::optional<std::uint64_t> SharedPart(const PlacementRequest& request) {
   if (request.parts.size() < 2) return std::nullopt;
@@ -89,7 +79,7 @@
   }
   out = (out + kFixedAnswerMs) * state.slowness;
   if (state.entry.hall != options_.hall) out += options_.other_hall_ms;
-  out += Decayed(state.failures, now - state.judged) * options_.failure_ms;
+  out += state.health.FailureShare(now) * options_.failure_ms;
   return out;
 }
 
@@ -97,19 +87,20 @@
     Instant now, const PlacementRequest& request) const {
   const State* home = HomeOf(request);
   const State* best = nullptr;
-  bool best_rests = false;
+  bool best_is_ejected = false;
   double best_cost = 0;
   for (const auto& [name, state] : targets_) {
     const TargetEntry& entry = state.entry;
     if (entry.service != request.service || entry.leaving) continue;
     if (request.tried.contains(name)) continue;
-    const bool rests = now < state.rests_until;
+    const bool ejected = state.health.IsEjected(now);
     const double cost = Cost(now, state, request, &state == home);
-    const bool better = best == nullptr ||
-                        (rests == best_rests ? cost < best_cost : best_rests);
+    const bool better =
+        best == nullptr ||
+        (ejected == best_is_ejected ? cost < best_cost : best_is_ejected);
     if (!better) continue;
     best = &state;
-    best_rests = rests;
+    best_is_ejected = ejected;
     best_cost = cost;
   }
   if (best == nullptr) return std::nullopt;
@@ -154,21 +145,6 @@
   state.unread = std::max<Tokens>(0, state.unread - unread);
 }
 
-void Placement::Judge(Instant now, State& state, bool failed) {
-  const double before = Decayed(state.failures, now - state.judged);
-  state.failures = before + ((failed ? 1.0 : 0.0) - before) * kSmoothing;
-  state.judged = now;
-  if (!failed) {
-    state.failed_in_a_row = 0;
-    state.rests_until = {};
-    return;
-  }
-  const int over = ++state.failed_in_a_row - kFailuresBeforeRest;
-  if (over < 0) return;
-  state.rests_until =
-      now + kShortestRest * (1 << std::min(over, kMostRestDoublings));
-}
-
 void Placement::OnEnded(Instant now, const TargetName& name, Tokens unread,
                         PlacementOutcome outcome) {
   const auto it = targets_.find(name);
@@ -176,8 +152,8 @@
   State& state = it->second;
   state.running = std::max(0, state.running - 1);
   state.unread = std::max<Tokens>(0, state.unread - unread);
-  const bool speaks = outcome != PlacementOutcome::kNeutral;
-  if (speaks) Judge(now, state, outcome != PlacementOutcome::kGood);
+  if (outcome == PlacementOutcome::kNeutral) return;
+  state.health.Record(now, outcome != PlacementOutcome::kGood);
 }
 
 }  // namespace quaytrack
--- a/dispatch/placement.h
+++ b/dispatch/placement.h
@@ -39,6 +39,7 @@
 
 #include "base/clock.h"
 #include "base/ids.h"
+#include "dispatch/outlier_ejection.h"
 #include "fleet/target_registry.h"
 
 namespace quaytrack {
@@ -93,7 +94,8 @@
   // What is known of a target that stays is kept.
   void SetTargets(const std::map<TargetName, TargetEntry>& entries);
 
-  // The target, or nothing if every one is leaving, tried or resting.
+  // The target, or nothing if every one is leaving or tried. An ejected
+  // target is chosen only if all are ejected.
   std::optional<PlacementChoice> Choose(Instant now,
                                         const PlacementRequest& request) const;
 
@@ -112,13 +114,9 @@
     TargetEntry entry;
     int running = 0;
     Tokens unread = 0;
-    // Share of recent requests that failed, decaying.
-    double failures = 0;
     // Answer times over expected ones, smoothed.
     double slowness = 1;
-    Instant judged{};
-    Instant rests_until{};
-    int failed_in_a_row = 0;
+    OutlierEjection health;
     std::unordered_map<std::uint64_t, Instant> kept;
   };
 
@@ -128,7 +126,6 @@
               bool is_home) const;
   const State* HomeOf(const PlacementRequest& request) const;
   void Remember(Instant now, State& state, const PlacementRequest& request);
-  void Judge(Instant now, State& state, bool failed);
 
   PlacementOptions options_;
   std::map<TargetName, State> targets_;
--- a/dispatch/testing/placement_test.cc
+++ b/dispatch/testing/placement_test.cc
@@ -121,7 +121,7 @@
   BOOST_TEST((it.Choose(later, request)->target.name == bad));
 }
 
-BOOST_AUTO_TEST_CASE(ARestingTargetIsBetterThanNone) {
+BOOST_AUTO_TEST_CASE(AnEjectedTargetIsBetterThanNone) {
   Placement it(InHall("hall-0"));
   it.SetTargets(Targets(kDesk, 1));
   PlacementRequest request;
