--- a/dispatch/placement.cc
+++ b/dispatch/placement.cc
@@ -24,6 +24,15 @@
   return request.parts[request.parts.size() - 2].id;
 }
 
+// Tokens of the prompt that an engine has to prefill. The home is taken to have
+// all shared parts, whoever sent them.
+Tokens PrefillTokens(const PrefixCache& prefixes,
+                     const PlacementRequest& request, bool is_home) {
+  const Tokens cached = is_home ? SharedTokens(request.parts)
+                                : prefixes.CachedTokens(request.parts);
+  return std::max<Tokens>(0, request.prompt_tokens - cached);
+}
+
 }  // namespace
 
 void Placement::SetTargets(const std::map<TargetName, TargetEntry>& entries) {
@@ -51,25 +60,12 @@
   return out;
 }
 
-// Parts are kept only together with all before them.
-Tokens Placement::MissingTokens(const State& state,
-                                const PlacementRequest& request,
-                                bool is_home) const {
-  Tokens kept = 0;
-  for (std::size_t i = 0; i + 1 < request.parts.size(); ++i) {
-    const PromptPart& it = request.parts[i];
-    if (!is_home && !state.kept.contains(it.id)) break;
-    kept += it.tokens;
-  }
-  return std::max<Tokens>(0, request.prompt_tokens - kept);
-}
-
 double Placement::Cost(Instant now, const State& state,
                        const PlacementRequest& request, bool is_home) const {
   double out = 0;
   if (request.ForEngine()) {
     const Tokens reading =
-        state.unread + MissingTokens(state, request, is_home);
+        state.unread + PrefillTokens(state.prefixes, request, is_home);
     out += static_cast<double>(reading) / options_.read_tokens_per_ms;
     out += state.running * options_.per_running_ms;
     if (!is_home) out += options_.not_home_ms;
@@ -107,18 +103,6 @@
   return PlacementChoice{best->entry, best_cost, best == home};
 }
 
-void Placement::Remember(Instant now, State& state,
-                         const PlacementRequest& request) {
-  for (std::size_t i = 0; i + 1 < request.parts.size(); ++i) {
-    state.kept[request.parts[i].id] = now;
-  }
-  while (state.kept.size() > options_.remembered_parts) {
-    state.kept.erase(std::min_element(
-        state.kept.begin(), state.kept.end(),
-        [](const auto& a, const auto& b) { return a.second < b.second; }));
-  }
-}
-
 Tokens Placement::OnSent(Instant now, const TargetName& name,
                          const PlacementRequest& request, bool is_home) {
   const auto it = targets_.find(name);
@@ -126,9 +110,9 @@
   State& state = it->second;
   ++state.running;
   if (!request.ForEngine()) return 0;
-  const Tokens unread = MissingTokens(state, request, is_home);
+  const Tokens unread = PrefillTokens(state.prefixes, request, is_home);
   state.unread += unread;
-  Remember(now, state, request);
+  state.prefixes.OnSent(now, request.parts);
   return unread;
 }
 
--- a/dispatch/placement.h
+++ b/dispatch/placement.h
@@ -28,28 +28,21 @@
 #ifndef QUAYTRACK_DISPATCH_PLACEMENT_H_
 #define QUAYTRACK_DISPATCH_PLACEMENT_H_
 
-#include <cstdint>
 #include <map>
 #include <optional>
 #include <set>
 #include <string>
-#include <unordered_map>
 #include <utility>
 #include <vector>
 
 #include "base/clock.h"
 #include "base/ids.h"
 #include "dispatch/outlier_ejection.h"
+#include "dispatch/prefix_cache.h"
 #include "fleet/target_registry.h"
 
 namespace quaytrack {
 
-// A part of a prompt.
-struct PromptPart {
-  std::uint64_t id = 0;
-  Tokens tokens = 0;
-};
-
 struct PlacementRequest {
   ServiceName service;
   // Empty for services other than engines.
@@ -83,8 +76,6 @@
   double not_home_ms = 150;
   // What a target that fails every request is charged.
   double failure_ms = 4000;
-  // Prompt parts remembered for each target.
-  std::size_t remembered_parts = 256;
 };
 
 class Placement {
@@ -117,15 +108,12 @@
     // Answer times over expected ones, smoothed.
     double slowness = 1;
     OutlierEjection health;
-    std::unordered_map<std::uint64_t, Instant> kept;
+    PrefixCache prefixes;
   };
 
-  Tokens MissingTokens(const State& state, const PlacementRequest& request,
-                       bool is_home) const;
   double Cost(Instant now, const State& state, const PlacementRequest& request,
               bool is_home) const;
   const State* HomeOf(const PlacementRequest& request) const;
-  void Remember(Instant now, State& state, const PlacementRequest& request);
 
   PlacementOptions options_;
   std::map<TargetName, State> targets_;
