--- a/dispatch/placement.cc
+++ b/dispatch/placement.cc
@@ -24,12 +24,12 @@
   return request.parts[request.parts.size() - 2].id;
 }
 
-// Tokens of the prompt that an engine has to prefill. The home is taken to have
-// all shared parts, whoever sent them.
+// Tokens of the prompt that an engine has to prefill. The preferred target is
+// taken to have all shared parts, whoever sent them.
 Tokens PrefillTokens(const PrefixCache& prefixes,
-                     const PlacementRequest& request, bool is_home) {
-  const Tokens cached = is_home ? SharedTokens(request.parts)
-                                : prefixes.CachedTokens(request.parts);
+                     const PlacementRequest& request, bool is_preferred) {
+  const Tokens cached = is_preferred ? SharedTokens(request.parts)
+                                     : prefixes.CachedTokens(request.parts);
   return std::max<Tokens>(0, request.prompt_tokens - cached);
 }
 
@@ -41,7 +41,7 @@
   for (const auto& [name, entry] : entries) targets_[name].entry = entry;
 }
 
-const Placement::State* Placement::HomeOf(
+const Placement::State* Placement::PreferredTarget(
     const PlacementRequest& request) const {
   const auto part = SharedPart(request);
   if (!part) return nullptr;
@@ -61,14 +61,15 @@
 }
 
 double Placement::Cost(Instant now, const State& state,
-                       const PlacementRequest& request, bool is_home) const {
+                       const PlacementRequest& request,
+                       bool is_preferred) const {
   double out = 0;
   if (request.ForEngine()) {
     const Tokens reading =
-        state.unread + PrefillTokens(state.prefixes, request, is_home);
+        state.unread + PrefillTokens(state.prefixes, request, is_preferred);
     out += static_cast<double>(reading) / options_.read_tokens_per_ms;
     out += state.running * options_.per_running_ms;
-    if (!is_home) out += options_.not_home_ms;
+    if (!is_preferred) out += options_.not_preferred_ms;
   } else {
     const double slots = std::max(1, state.entry.slots);
     out += state.running / slots * kFixedAnswerMs;
@@ -81,7 +82,7 @@
 
 std::optional<PlacementChoice> Placement::Choose(
     Instant now, const PlacementRequest& request) const {
-  const State* home = HomeOf(request);
+  const State* preferred = PreferredTarget(request);
   const State* best = nullptr;
   bool best_is_ejected = false;
   double best_cost = 0;
@@ -90,7 +91,7 @@
     if (entry.service != request.service || entry.leaving) continue;
     if (request.tried.contains(name)) continue;
     const bool ejected = state.health.IsEjected(now);
-    const double cost = Cost(now, state, request, &state == home);
+    const double cost = Cost(now, state, request, &state == preferred);
     const bool better =
         best == nullptr ||
         (ejected == best_is_ejected ? cost < best_cost : best_is_ejected);
@@ -100,17 +101,17 @@
     best_cost = cost;
   }
   if (best == nullptr) return std::nullopt;
-  return PlacementChoice{best->entry, best_cost, best == home};
+  return PlacementChoice{best->entry, best_cost, best == preferred};
 }
 
 Tokens Placement::OnSent(Instant now, const TargetName& name,
-                         const PlacementRequest& request, bool is_home) {
+                         const PlacementRequest& request, bool is_preferred) {
   const auto it = targets_.find(name);
   if (it == targets_.end()) return 0;
   State& state = it->second;
   ++state.running;
   if (!request.ForEngine()) return 0;
-  const Tokens unread = PrefillTokens(state.prefixes, request, is_home);
+  const Tokens unread = PrefillTokens(state.prefixes, request, is_preferred);
   state.unread += unread;
   state.prefixes.OnSent(now, request.parts);
   return unread;
--- a/dispatch/placement.h
+++ b/dispatch/placement.h
@@ -2,7 +2,7 @@
 //
 //   placement.SetTargets(entries);
 //   auto choice = placement.Choose(now, request);
-//   Tokens unread = placement.OnSent(now, name, request, choice.is_home);
+//   Tokens unread = placement.OnSent(now, name, request, choice.is_preferred);
 //   placement.OnAnswering(now, name, unread, waited);
 //   placement.OnEnded(now, name, 0, PlacementOutcome::kGood);
 //
@@ -61,8 +61,8 @@
 struct PlacementChoice {
   TargetEntry target;
   double cost_ms = 0;
-  // It is the home of the prompt's shared part.
-  bool is_home = false;
+  // It is the preferred target of the prompt's shared part.
+  bool is_preferred = false;
 };
 
 struct PlacementOptions {
@@ -71,9 +71,9 @@
   double read_tokens_per_ms = 50;
   double per_running_ms = 3;
   double other_hall_ms = 8;
-  // For a target that isn't the home, so that equal costs don't spread a part
-  // over all of them.
-  double not_home_ms = 150;
+  // For a target that isn't the preferred one, so that equal costs don't spread
+  // a part over all of them.
+  double not_preferred_ms = 150;
   // What a target that fails every request is charged.
   double failure_ms = 4000;
 };
@@ -90,10 +90,10 @@
   std::optional<PlacementChoice> Choose(Instant now,
                                         const PlacementRequest& request) const;
 
-  // Returns the tokens that the target is expected to read for it. `is_home`
-  // is as `Choose` has found it.
+  // Returns the tokens that the target is expected to read for it.
+  // `is_preferred` is as `Choose` has found it.
   Tokens OnSent(Instant now, const TargetName& name,
-                const PlacementRequest& request, bool is_home);
+                const PlacementRequest& request, bool is_preferred);
   // Its answer began, after `waited`; `unread` is what OnSent returned.
   void OnAnswering(const TargetName& name, Tokens unread, Duration waited);
   // `unread`: what OnSent returned, or 0 after OnAnswering.
@@ -112,8 +112,8 @@
   };
 
   double Cost(Instant now, const State& state, const PlacementRequest& request,
-              bool is_home) const;
-  const State* HomeOf(const PlacementRequest& request) const;
+              bool is_preferred) const;
+  const State* PreferredTarget(const PlacementRequest& request) const;
 
   PlacementOptions options_;
   std::map<TargetName, State> targets_;
--- a/dispatch/testing/placement_test.cc
+++ b/dispatch/testing/placement_test.cc
@@ -44,22 +44,22 @@
   return out;
 }
 
-BOOST_AUTO_TEST_CASE(RoutersAgreeOnTheHomeOfAPart) {
+BOOST_AUTO_TEST_CASE(RoutersAgreeOnThePreferredTargetOfAPart) {
   Placement one(InHall("hall-0"));
   Placement other(InHall("hall-2"));
   const auto targets = Targets(kEngines, 12);
   one.SetTargets(targets);
   other.SetTargets(targets);
-  std::set<TargetName> homes;
+  std::set<TargetName> preferred;
   for (std::uint64_t part = 1; part <= 40; ++part) {
     const auto a = one.Choose(kStart, Prompt(part, 900 + part));
     const auto b = other.Choose(kStart, Prompt(part, 700 + part));
     BOOST_TEST((a->target.name == b->target.name));
-    BOOST_TEST(a->is_home);
-    homes.insert(a->target.name);
+    BOOST_TEST(a->is_preferred);
+    preferred.insert(a->target.name);
   }
   // Spread over the targets, and not all at one.
-  BOOST_TEST(homes.size() >= 8U);
+  BOOST_TEST(preferred.size() >= 8U);
 }
 
 BOOST_AUTO_TEST_CASE(AFloodOfOnePartSpillsOver) {
@@ -69,7 +69,7 @@
   for (std::uint64_t n = 0; n < 60; ++n) {
     const PlacementRequest request = Prompt(7, 1000 + n);
     const auto choice = it.Choose(kStart, request);
-    it.OnSent(kStart, choice->target.name, request, choice->is_home);
+    it.OnSent(kStart, choice->target.name, request, choice->is_preferred);
     ++sent[choice->target.name];
   }
   BOOST_TEST(sent.size() > 3U);
@@ -86,10 +86,10 @@
   }
   targets.erase(TargetName("t3"));
   it.SetTargets(targets);
-  for (const auto& [part, home] : before) {
+  for (const auto& [part, target] : before) {
     const TargetName now = it.Choose(kStart, Prompt(part, 1))->target.name;
-    if (home == TargetName("t3")) continue;
-    BOOST_TEST((now == home));
+    if (target == TargetName("t3")) continue;
+    BOOST_TEST((now == target));
   }
 }
 
@@ -228,16 +228,16 @@
              boost::test_tools::tolerance(1e-6));
 }
 
-BOOST_AUTO_TEST_CASE(ALeavingTargetIsNotTheHomeOfAPart) {
+BOOST_AUTO_TEST_CASE(ALeavingTargetIsNotPreferred) {
   Placement it(InHall("hall-0"));
   auto targets = Targets(kEngines, 6);
   it.SetTargets(targets);
-  const TargetName home = it.Choose(kStart, Prompt(7, 1))->target.name;
-  targets[home].leaving = true;
+  const TargetName preferred = it.Choose(kStart, Prompt(7, 1))->target.name;
+  targets[preferred].leaving = true;
   it.SetTargets(targets);
   const auto choice = it.Choose(kStart, Prompt(7, 1));
-  BOOST_TEST((choice->target.name != home));
-  BOOST_TEST(choice->is_home);
+  BOOST_TEST((choice->target.name != preferred));
+  BOOST_TEST(choice->is_preferred);
 }
 
 BOOST_AUTO_TEST_CASE(ATargetOfAnotherServiceIsNotChosen) {
@@ -248,7 +248,7 @@
   for (std::uint64_t part = 1; part <= 40; ++part) {
     const auto choice = it.Choose(kStart, Prompt(part, 900 + part));
     BOOST_TEST((choice->target.name != TargetName("t5")));
-    BOOST_TEST(choice->is_home);
+    BOOST_TEST(choice->is_preferred);
   }
 }
 
@@ -260,8 +260,8 @@
   double Cost(const PlacementRequest& request) const {
     return it.Choose(kStart, request)->cost_ms;
   }
-  Tokens Send(const PlacementRequest& request, bool is_home) {
-    return it.OnSent(kStart, engine, request, is_home);
+  Tokens Send(const PlacementRequest& request, bool is_preferred) {
+    return it.OnSent(kStart, engine, request, is_preferred);
   }
 
   const TargetName engine{"t0"};
@@ -269,7 +269,7 @@
 };
 
 BOOST_FIXTURE_TEST_CASE(AnEngineIsChargedWhatItHasYetToRead, OneEngine) {
-  // Its home: the last part alone, 3000 tokens at 50 a millisecond, and 40 ms.
+  // Preferred: the last part alone, 3000 tokens at 50 a millisecond, and 40 ms.
   BOOST_TEST(Cost(Prompt(7, 1)) == 60 + 40);
   const Tokens unread = Send(Prompt(7, 1), true);
   BOOST_TEST(unread == 3000);
@@ -332,19 +332,19 @@
              boost::test_tools::tolerance(1e-6));
 }
 
-BOOST_AUTO_TEST_CASE(APartStaysAtItsHomeUntilAnotherIsCheaperByTheCharge) {
+BOOST_AUTO_TEST_CASE(APartStaysAtItsTargetUntilAnotherIsCheaperByTheCharge) {
   Placement it(InHall("hall-0"));
   it.SetTargets(Targets(kEngines, 2));
   int sent = 0;
   for (std::uint64_t n = 1; n <= 20; ++n) {
     const PlacementRequest request = Prompt(7, 1000 + n);
     const auto choice = it.Choose(kStart, request);
-    if (!choice->is_home) break;
+    if (!choice->is_preferred) break;
     it.OnSent(kStart, choice->target.name, request, true);
     ++sent;
   }
   // There: 100 ms and 63 ms for each before. Elsewhere: 320 ms to read all,
-  // 40 ms, and 150 ms as it isn't the home.
+  // 40 ms, and 150 ms as it isn't the preferred one.
   BOOST_TEST(sent == 7);
 }
 
--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -132,7 +132,7 @@
   admission_.placement.tried.insert(target);
   sent_at_ = context_.clock.Now();
   prefill_ = context_.placement.OnSent(sent_at_, target, admission_.placement,
-                                       progress_.choice.is_home);
+                                       progress_.choice.is_preferred);
   answer_facts_ = {};
   body_.clear();
   events_.DropPartial();
