--- a/dispatch/placement.cc
+++ b/dispatch/placement.cc
@@ -65,9 +65,9 @@
                        bool is_preferred) const {
   double out = 0;
   if (request.ForEngine()) {
-    const Tokens reading =
-        state.unread + PrefillTokens(state.prefixes, request, is_preferred);
-    out += static_cast<double>(reading) / options_.read_tokens_per_ms;
+    const Tokens tokens =
+        state.prefill + PrefillTokens(state.prefixes, request, is_preferred);
+    out += static_cast<double>(tokens) / options_.prefill_tokens_per_ms;
     out += state.running * options_.per_running_ms;
     if (!is_preferred) out += options_.not_preferred_ms;
   } else {
@@ -111,32 +111,32 @@
   State& state = it->second;
   ++state.running;
   if (!request.ForEngine()) return 0;
-  const Tokens unread = PrefillTokens(state.prefixes, request, is_preferred);
-  state.unread += unread;
+  const Tokens prefill = PrefillTokens(state.prefixes, request, is_preferred);
+  state.prefill += prefill;
   state.prefixes.OnSent(now, request.parts);
-  return unread;
+  return prefill;
 }
 
-void Placement::OnAnswering(const TargetName& name, Tokens unread,
+void Placement::OnAnswering(const TargetName& name, Tokens prefill,
                             Duration waited) {
   const auto it = targets_.find(name);
   if (it == targets_.end()) return;
   State& state = it->second;
-  const double expected = kFixedAnswerMs + static_cast<double>(state.unread) /
-                                               options_.read_tokens_per_ms;
+  const double expected = kFixedAnswerMs + static_cast<double>(state.prefill) /
+                                               options_.prefill_tokens_per_ms;
   const double ratio =
       std::clamp(Milliseconds(waited) / expected, 1.0, kMostSlowness);
   state.slowness += (ratio - state.slowness) * kSmoothing;
-  state.unread = std::max<Tokens>(0, state.unread - unread);
+  state.prefill = std::max<Tokens>(0, state.prefill - prefill);
 }
 
-void Placement::OnEnded(Instant now, const TargetName& name, Tokens unread,
+void Placement::OnEnded(Instant now, const TargetName& name, Tokens prefill,
                         PlacementOutcome outcome) {
   const auto it = targets_.find(name);
   if (it == targets_.end()) return;
   State& state = it->second;
   state.running = std::max(0, state.running - 1);
-  state.unread = std::max<Tokens>(0, state.unread - unread);
+  state.prefill = std::max<Tokens>(0, state.prefill - prefill);
   if (outcome == PlacementOutcome::kNeutral) return;
   state.health.Record(now, outcome != PlacementOutcome::kGood);
 }
--- a/dispatch/placement.h
+++ b/dispatch/placement.h
@@ -2,8 +2,8 @@
 //
 //   placement.SetTargets(entries);
 //   auto choice = placement.Choose(now, request);
-//   Tokens unread = placement.OnSent(now, name, request, choice.is_preferred);
-//   placement.OnAnswering(now, name, unread, waited);
+//   Tokens prefill = placement.OnSent(now, name, request, choice.is_preferred);
+//   placement.OnAnswering(now, name, prefill, waited);
 //   placement.OnEnded(now, name, 0, PlacementOutcome::kGood);
 //
 // Engines. A prompt is a list of parts, of which all but the last are shared
@@ -68,7 +68,7 @@
 struct PlacementOptions {
   HallName hall;
   // Tokens of a prompt that an engine reads in a millisecond.
-  double read_tokens_per_ms = 50;
+  double prefill_tokens_per_ms = 50;
   double per_running_ms = 3;
   double other_hall_ms = 8;
   // For a target that isn't the preferred one, so that equal costs don't spread
@@ -94,17 +94,17 @@
   // `is_preferred` is as `Choose` has found it.
   Tokens OnSent(Instant now, const TargetName& name,
                 const PlacementRequest& request, bool is_preferred);
-  // Its answer began, after `waited`; `unread` is what OnSent returned.
-  void OnAnswering(const TargetName& name, Tokens unread, Duration waited);
-  // `unread`: what OnSent returned, or 0 after OnAnswering.
-  void OnEnded(Instant now, const TargetName& name, Tokens unread,
+  // Its answer began, after `waited`; `prefill` is what OnSent returned.
+  void OnAnswering(const TargetName& name, Tokens prefill, Duration waited);
+  // `prefill`: what OnSent returned, or 0 after OnAnswering.
+  void OnEnded(Instant now, const TargetName& name, Tokens prefill,
                PlacementOutcome outcome);
 
  private:
   struct State {
     TargetEntry entry;
     int running = 0;
-    Tokens unread = 0;
+    Tokens prefill = 0;
     // Answer times over expected ones, smoothed.
     double slowness = 1;
     OutlierEjection health;
--- a/dispatch/testing/placement_test.cc
+++ b/dispatch/testing/placement_test.cc
@@ -268,22 +268,22 @@
   Placement it{InHall("hall-0")};
 };
 
-BOOST_FIXTURE_TEST_CASE(AnEngineIsChargedWhatItHasYetToRead, OneEngine) {
+BOOST_FIXTURE_TEST_CASE(AnEngineIsChargedWhatItHasYetToPrefill, OneEngine) {
   // Preferred: the last part alone, 3000 tokens at 50 a millisecond, and 40 ms.
   BOOST_TEST(Cost(Prompt(7, 1)) == 60 + 40);
-  const Tokens unread = Send(Prompt(7, 1), true);
-  BOOST_TEST(unread == 3000);
+  const Tokens prefill = Send(Prompt(7, 1), true);
+  BOOST_TEST(prefill == 3000);
   // Beside it: its 60 ms and 3 ms for each running request.
   BOOST_TEST(Cost(Prompt(7, 2)) == 60 + 60 + 3 + 40);
-  it.OnAnswering(engine, unread, milliseconds(100));
+  it.OnAnswering(engine, prefill, milliseconds(100));
   BOOST_TEST(Cost(Prompt(7, 2)) == 60 + 3 + 40);
   it.OnEnded(kStart, engine, 0, PlacementOutcome::kGood);
   BOOST_TEST(Cost(Prompt(7, 2)) == 60 + 40);
 }
 
-BOOST_FIXTURE_TEST_CASE(WhatARequestLeftUnreadGoesWithIt, OneEngine) {
-  const Tokens unread = Send(Prompt(7, 1), true);
-  it.OnEnded(kStart, engine, unread, PlacementOutcome::kNeutral);
+BOOST_FIXTURE_TEST_CASE(ThePrefillOfARequestEndsWithIt, OneEngine) {
+  const Tokens prefill = Send(Prompt(7, 1), true);
+  it.OnEnded(kStart, engine, prefill, PlacementOutcome::kNeutral);
   BOOST_TEST(Cost(Prompt(7, 2)) == 60 + 40);
 }
 
@@ -310,9 +310,9 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(ASlowAnswerMakesAnEngineDearer, OneEngine) {
-  const Tokens unread = Send(Prompt(7, 1), true);
+  const Tokens prefill = Send(Prompt(7, 1), true);
   // Ten times the 100 ms that were expected.
-  it.OnAnswering(engine, unread, milliseconds(1000));
+  it.OnAnswering(engine, prefill, milliseconds(1000));
   it.OnEnded(kStart, engine, 0, PlacementOutcome::kGood);
   BOOST_TEST(Cost(Prompt(7, 2)) == 100 * 2.8,
              boost::test_tools::tolerance(1e-6));
@@ -325,8 +325,8 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(ASlownessIsBoundedAtTwentyTimes, OneEngine) {
-  const Tokens unread = Send(Prompt(7, 1), true);
-  it.OnAnswering(engine, unread, std::chrono::hours(1));
+  const Tokens prefill = Send(Prompt(7, 1), true);
+  it.OnAnswering(engine, prefill, std::chrono::hours(1));
   it.OnEnded(kStart, engine, 0, PlacementOutcome::kGood);
   BOOST_TEST(Cost(Prompt(7, 2)) == 100 * 4.8,
              boost::test_tools::tolerance(1e-6));
