--- a/dispatch/placement.cc
+++ b/dispatch/placement.cc
@@ -8,6 +8,15 @@
 namespace quaytrack {
 namespace {
 
+// Prompt tokens that an engine prefills in a millisecond.
+constexpr double kPrefillTokensPerMs = 50;
+constexpr double kPerRunningMs = 3;
+constexpr double kOtherHallMs = 8;
+// For a target that isn't the preferred one, so that equal costs don't spread a
+// part over all of them.
+constexpr double kNotPreferredMs = 150;
+// What a target that fails every request is charged.
+constexpr double kFailureMs = 4000;
 // Weight of the newest answer in a target's slowness.
 constexpr double kSmoothing = 0.2;
 constexpr double kMostSlowness = 20;
@@ -67,16 +76,16 @@
   if (request.ForEngine()) {
     const Tokens tokens =
         state.prefill + PrefillTokens(state.prefixes, request, is_preferred);
-    out += static_cast<double>(tokens) / options_.prefill_tokens_per_ms;
-    out += state.running * options_.per_running_ms;
-    if (!is_preferred) out += options_.not_preferred_ms;
+    out += static_cast<double>(tokens) / kPrefillTokensPerMs;
+    out += state.running * kPerRunningMs;
+    if (!is_preferred) out += kNotPreferredMs;
   } else {
     const double slots = std::max(1, state.entry.slots);
     out += state.running / slots * kFixedAnswerMs;
   }
   out = (out + kFixedAnswerMs) * state.slowness;
-  if (state.entry.hall != options_.hall) out += options_.other_hall_ms;
-  out += state.health.FailureShare(now) * options_.failure_ms;
+  if (state.entry.hall != hall_) out += kOtherHallMs;
+  out += state.health.FailureShare(now) * kFailureMs;
   return out;
 }
 
@@ -122,8 +131,8 @@
   const auto it = targets_.find(name);
   if (it == targets_.end()) return;
   State& state = it->second;
-  const double expected = kFixedAnswerMs + static_cast<double>(state.prefill) /
-                                               options_.prefill_tokens_per_ms;
+  const double expected =
+      kFixedAnswerMs + static_cast<double>(state.prefill) / kPrefillTokensPerMs;
   const double ratio =
       std::clamp(Milliseconds(waited) / expected, 1.0, kMostSlowness);
   state.slowness += (ratio - state.slowness) * kSmoothing;
--- a/dispatch/placement.h
+++ b/dispatch/placement.h
@@ -65,22 +65,10 @@
   bool is_preferred = false;
 };
 
-struct PlacementOptions {
-  HallName hall;
-  // Tokens of a prompt that an engine reads in a millisecond.
-  double prefill_tokens_per_ms = 50;
-  double per_running_ms = 3;
-  double other_hall_ms = 8;
-  // For a target that isn't the preferred one, so that equal costs don't spread
-  // a part over all of them.
-  double not_preferred_ms = 150;
-  // What a target that fails every request is charged.
-  double failure_ms = 4000;
-};
-
 class Placement {
  public:
-  explicit Placement(PlacementOptions options) : options_(std::move(options)) {}
+  // `hall` is the one that this router is in.
+  explicit Placement(HallName hall) : hall_(std::move(hall)) {}
 
   // What is known of a target that stays is kept.
   void SetTargets(const std::map<TargetName, TargetEntry>& entries);
@@ -115,7 +103,7 @@
               bool is_preferred) const;
   const State* PreferredTarget(const PlacementRequest& request) const;
 
-  PlacementOptions options_;
+  HallName hall_;
   std::map<TargetName, State> targets_;
 };
 
--- a/dispatch/testing/placement_test.cc
+++ b/dispatch/testing/placement_test.cc
@@ -38,15 +38,9 @@
   return out;
 }
 
-PlacementOptions InHall(const char* hall) {
-  PlacementOptions out;
-  out.hall = HallName(hall);
-  return out;
-}
-
 BOOST_AUTO_TEST_CASE(RoutersAgreeOnThePreferredTargetOfAPart) {
-  Placement one(InHall("hall-0"));
-  Placement other(InHall("hall-2"));
+  Placement one(HallName("hall-0"));
+  Placement other(HallName("hall-2"));
   const auto targets = Targets(kEngines, 12);
   one.SetTargets(targets);
   other.SetTargets(targets);
@@ -63,7 +57,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(AFloodOfOnePartSpillsOver) {
-  Placement it(InHall("hall-0"));
+  Placement it(HallName("hall-0"));
   it.SetTargets(Targets(kEngines, 12));
   std::map<TargetName, int> sent;
   for (std::uint64_t n = 0; n < 60; ++n) {
@@ -77,7 +71,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(OnlyThePartsOfTheDeadTargetMove) {
-  Placement it(InHall("hall-0"));
+  Placement it(HallName("hall-0"));
   auto targets = Targets(kEngines, 12);
   it.SetTargets(targets);
   std::map<std::uint64_t, TargetName> before;
@@ -94,7 +88,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(ALeavingOrTriedTargetIsNotChosen) {
-  Placement it(InHall("hall-0"));
+  Placement it(HallName("hall-0"));
   auto targets = Targets(kDesk, 3);
   targets[TargetName("t0")].leaving = true;
   it.SetTargets(targets);
@@ -107,7 +101,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(AFailingTargetIsLeftAndTriedAgain) {
-  Placement it(InHall("hall-0"));
+  Placement it(HallName("hall-0"));
   it.SetTargets(Targets(kDesk, 3));
   PlacementRequest request;
   request.service = kDesk;
@@ -122,7 +116,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(AnEjectedTargetIsBetterThanNone) {
-  Placement it(InHall("hall-0"));
+  Placement it(HallName("hall-0"));
   it.SetTargets(Targets(kDesk, 1));
   PlacementRequest request;
   request.service = kDesk;
@@ -134,7 +128,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(PlainCallsGoToTheLeastBusyOfTheirHall) {
-  Placement it(InHall("hall-1"));
+  Placement it(HallName("hall-1"));
   it.SetTargets(Targets(kDesk, 3));
   PlacementRequest request;
   request.service = kDesk;
@@ -166,7 +160,7 @@
 
   const TargetName busy{"t0"};
   const TargetName other{"t1"};
-  Placement it{InHall("hall-0")};
+  Placement it{HallName("hall-0")};
   PlacementRequest request;
 };
 
@@ -210,7 +204,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(AFailureIsChargedAndHalvesInThreeSeconds) {
-  Placement it(InHall("hall-0"));
+  Placement it(HallName("hall-0"));
   it.SetTargets(Targets(kDesk, 1));
   PlacementRequest request;
   request.service = kDesk;
@@ -229,7 +223,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(ALeavingTargetIsNotPreferred) {
-  Placement it(InHall("hall-0"));
+  Placement it(HallName("hall-0"));
   auto targets = Targets(kEngines, 6);
   it.SetTargets(targets);
   const TargetName preferred = it.Choose(kStart, Prompt(7, 1))->target.name;
@@ -241,7 +235,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(ATargetOfAnotherServiceIsNotChosen) {
-  Placement it(InHall("hall-0"));
+  Placement it(HallName("hall-0"));
   auto targets = Targets(kEngines, 6);
   targets[TargetName("t5")].service = kDesk;
   it.SetTargets(targets);
@@ -265,7 +259,7 @@
   }
 
   const TargetName engine{"t0"};
-  Placement it{InHall("hall-0")};
+  Placement it{HallName("hall-0")};
 };
 
 BOOST_FIXTURE_TEST_CASE(AnEngineIsChargedWhatItHasYetToPrefill, OneEngine) {
@@ -333,7 +327,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(APartStaysAtItsTargetUntilAnotherIsCheaperByTheCharge) {
-  Placement it(InHall("hall-0"));
+  Placement it(HallName("hall-0"));
   it.SetTargets(Targets(kEngines, 2));
   int sent = 0;
   for (std::uint64_t n = 1; n <= 20; ++n) {
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -33,12 +33,6 @@
   return out;
 }
 
-PlacementOptions PlacementFor(const RelaySettings& settings) {
-  PlacementOptions out;
-  out.hall = HallName(settings.hall);
-  return out;
-}
-
 // Tells one boot of the machine from another; empty if it can't be read.
 std::string BootId() {
   std::ifstream in("/proc/sys/kernel/random/boot_id");
@@ -83,7 +77,7 @@
       self_(settings.vm + "@" + RandomHex(kIncarnationBytes)),
       connections_(connections),
       store_(store),
-      placement_(PlacementFor(settings)),
+      placement_(HallName(settings.hall)),
       fleet_(loop, store, {VmName(settings.vm), HallName(settings.hall), ""},
              FleetOptionsOf(settings)),
       budgets_(loop, clock, store, fleet_.directory(),
--- a/relay/testing/retry_test.cc
+++ b/relay/testing/retry_test.cc
@@ -73,7 +73,7 @@
 }
 
 struct Fixture {
-  Fixture() : placement(PlacementOptions()), shares(Options()) {
+  Fixture() : placement(HallName()), shares(Options()) {
     request.service = kService;
     SetTargets({"a", "b"}, kService);
     request.tried.insert(TargetName("a"));
