--- a/dispatch/placement.h
+++ b/dispatch/placement.h
@@ -1,29 +1,52 @@
-// Chooses the target of a request among those of its service.
+// Placement: which target of a service takes a request.
 //
+//   Placement placement(hall);
 //   placement.SetTargets(entries);
-//   auto choice = placement.Choose(now, request);
-//   Tokens prefill = placement.OnSent(now, name, request, choice.is_preferred);
-//   placement.OnAnswering(now, name, prefill, waited);
-//   placement.OnEnded(now, name, 0, PlacementOutcome::kGood);
+//   const auto choice = placement.Choose(now, request);
+//   Tokens prefill = placement.OnSent(now, choice->target.name, request,
+//                                     choice->is_preferred);
+//   placement.OnAnswering(name, prefill, waited);     // first event of a
+//   stream placement.OnEnded(now, name, 0, PlacementOutcome::kGood);
 //
-// Engines. A prompt is a list of parts, of which all but the last are shared
-// between requests. An engine that keeps the shared parts reads only the rest,
-// and all that is read holds up everything beside it. So each target is given
-// an expected cost in milliseconds, and the cheapest is chosen:
+// The rule. Targets that are leaving or that had the request before are out.
+// Of the others, ejected ones (dispatch/outlier_ejection.h) are taken only if
+// all are ejected. Among equals the one with the lowest expected cost is
+// chosen, in milliseconds:
 //
-//     tokens waiting to be read there / reading speed
-//   + tokens of this prompt that it isn't taken to keep / reading speed
-//   + a little for each running request, and for a target in another hall
-//   + a penalty for recent failures and slowness
+//   engines         (tokens to be prefilled there / prefill speed
+//                    + a charge for each running request
+//                    + a charge unless it is the preferred target
+//                    + base time) x slowness
+//   other services  (running requests / slots x base time
+//                    + base time) x slowness
+//   both            + a charge for another hall + failure share x its charge
 //
-// What an engine keeps is known only for this router's own sends. To make the
-// routers agree without talking, the deepest shared part has a home: the first
-// of a rendezvous order (Thaler and Ravishankar 1998) over the targets, which
-// is taken to keep it. Under load the cost of waiting at the home exceeds that
-// of reading the part elsewhere, so the load is bounded as in consistent
-// hashing with bounded loads (Mirrokni et al. 2018).
+// The charges, with their units and where they come from, stand at the top of
+// placement.cc. `relay_ended` of the log shows what decided: `target`, `home`
+// (whether it was the preferred target) and `expected_ms` (its cost).
 //
-// Other services: the least of outstanding requests per slot, same hall first.
+// Why tokens. An engine that has the prompt's shared parts in its prefix cache
+// prefills only the rest, and what it prefills holds up everything beside it.
+// "Tokens to be prefilled" are those of requests that were sent there and have
+// no answer yet, and those of this prompt that aren't cached there
+// (dispatch/prefix_cache.h).
+//
+// Why a preferred target. What an engine has cached is known only for this
+// router's own requests. To make routers agree without talking, the prompt's
+// deepest shared part has a preferred target: the first in a rendezvous order
+// (Thaler and Ravishankar 1998) of the targets that aren't leaving. It is taken
+// to have all shared parts. Under load, waiting there costs more than
+// prefilling the parts elsewhere, so the load of one target is bounded, as in
+// consistent hashing with bounded loads (Mirrokni et al. 2018).
+//
+// It owns what this router knows of each target, and relies on the list of
+// targets (fleet/target_registry.h) and on being told of each send and each
+// end. A target that is no longer listed is forgotten; reports on it are
+// ignored. Nothing here fails: the one bad answer is that there is no target.
+//
+// `quaytrack router` chooses by route/target_book.h. That is another decision:
+// its targets report their load, there are many of them, and it samples a few;
+// here no target reports anything, and all are compared.
 
 #ifndef QUAYTRACK_DISPATCH_PLACEMENT_H_
 #define QUAYTRACK_DISPATCH_PLACEMENT_H_
@@ -48,20 +71,26 @@
   // Empty for services other than engines.
   std::vector<PromptPart> parts;
   Tokens prompt_tokens = 0;
-  // Targets that must not be chosen.
+  // Targets that must not be chosen, as they have had the request.
   std::set<TargetName> tried;
 
   bool ForEngine() const { return prompt_tokens > 0; }
 };
 
 // How a request ended at a target, as far as it speaks for or against it.
-enum class PlacementOutcome { kGood, kFailed, kTurnedAway, kNeutral };
+enum class PlacementOutcome {
+  kGood,
+  kFailed,
+  kTurnedAway,  // refused for lack of room; counts as a failure
+  kNeutral,     // says nothing about the target
+};
 
 // A target, and what decided for it.
 struct PlacementChoice {
   TargetEntry target;
+  // Milliseconds.
   double cost_ms = 0;
-  // It is the preferred target of the prompt's shared part.
+  // It is the preferred target of the prompt's deepest shared part.
   bool is_preferred = false;
 };
 
@@ -73,32 +102,39 @@
   // What is known of a target that stays is kept.
   void SetTargets(const std::map<TargetName, TargetEntry>& entries);
 
-  // The target, or nothing if every one is leaving or tried. An ejected
-  // target is chosen only if all are ejected.
+  // Nothing if every target of the service is leaving or tried. It costs one
+  // hash and one comparison for each target.
   std::optional<PlacementChoice> Choose(Instant now,
                                         const PlacementRequest& request) const;
 
-  // Returns the tokens that the target is expected to read for it.
-  // `is_preferred` is as `Choose` has found it.
+  // Returns the tokens that the target is expected to prefill for the request;
+  // 0 for services other than engines. `is_preferred` is as `Choose` found it.
   Tokens OnSent(Instant now, const TargetName& name,
                 const PlacementRequest& request, bool is_preferred);
-  // Its answer began, after `waited`; `prefill` is what OnSent returned.
+  // The answer began `waited` after the send, so the prompt has been prefilled.
+  // `prefill` is what OnSent returned.
   void OnAnswering(const TargetName& name, Tokens prefill, Duration waited);
-  // `prefill`: what OnSent returned, or 0 after OnAnswering.
+  // `prefill` is what OnSent returned, or 0 after OnAnswering.
   void OnEnded(Instant now, const TargetName& name, Tokens prefill,
                PlacementOutcome outcome);
 
  private:
+  // One target, as this router knows it.
   struct State {
     TargetEntry entry;
+    // Requests of this router that are running there.
     int running = 0;
+    // Tokens that the target still has to prefill for them.
     Tokens prefill = 0;
-    // Answer times over expected ones, smoothed.
+    // Times of answers over the expected ones, smoothed; 1 or more.
     double slowness = 1;
     OutlierEjection health;
     PrefixCache prefixes;
   };
 
+  static double EngineMs(const State& state, const PlacementRequest& request,
+                         bool is_preferred);
+  static double QueueMs(const State& state);
   double Cost(Instant now, const State& state, const PlacementRequest& request,
               bool is_preferred) const;
   const State* PreferredTarget(const PlacementRequest& request) const;
