--- a/dispatch/link_watch.h
+++ b/dispatch/link_watch.h
@@ -1,15 +1,29 @@
 // LinkWatch: whether this VM's network link carries about as much as it can.
 //
 //   LinkWatch watch({link_bytes_per_s});
-//   watch.Observe(now, carried_in, carried_out);   // a few times a second
+//   if (watch.Observe(now, bytes_in, bytes_out)) ...   // IsBusy has changed
 //   if (watch.IsBusy()) ...
 //
-// A full link delays everything on it, and connections that are opened over it
+// The rule. The load is what the busier direction carried, over what the link
+// can carry, smoothed. The link is busy from `busy` on, and until the load is
+// below `eased` again. A router whose link is busy reports itself as not ready,
+// so that it gets no new connections; open ones stay.
+//
+// Why. A full link delays everything on it, and connections opened over it
 // fail. The balancer spreads connections by a hash of the caller, without
-// looking at load, so one large customer can fill one VM's link while the
-// others are idle. A router whose link is busy asks for no new connections
-// until it has eased; those that are open stay, so the load spreads over as
+// looking at load, so one large customer can fill one VM's link while others
+// are idle. A router that steps aside for a while makes the load spread over as
 // many routers as it needs.
+//
+// Inputs: running totals of bytes in each direction, taken a few times a
+// second. The link's speed is a setting (--link-mbps); without it, nothing is
+// ever busy. `link_busy` of the log shows the rule at work.
+//
+// Measured: with these figures and a cover of 10 s, which came in one change,
+// the worth of the grown site's quiet-1 rose from 0.346 to 0.546 (trial, commit
+// 02163af). Other figures were not tried.
+//
+// It owns its last totals and the smoothed load, and can't fail.
 
 #ifndef QUAYTRACK_DISPATCH_LINK_WATCH_H_
 #define QUAYTRACK_DISPATCH_LINK_WATCH_H_
@@ -22,12 +36,12 @@
 namespace quaytrack {
 
 struct LinkWatchOptions {
-  // Of each direction; 0 if it isn't known, and then the link is never busy.
+  // Bytes a second in each direction; 0 if it isn't known.
   double bytes_per_s = 0;
-  // Parts of that from which the link is busy, and below which it has eased.
+  // Load from which the link is busy, and below which it has eased; 1 is full.
   double busy = 0.6;
   double eased = 0.45;
-  // Time over which the load is smoothed.
+  // Time constant of the smoothing. Not measured.
   Duration smoothing = std::chrono::milliseconds(700);
 };
 
@@ -35,15 +49,17 @@
  public:
   explicit LinkWatch(LinkWatchOptions options) : options_(options) {}
 
-  // Takes running totals of bytes. Returns whether `IsBusy` has changed.
-  bool Observe(Instant now, double carried_in, double carried_out) {
+  // Takes the bytes carried since the start. Returns whether `IsBusy` has
+  // changed. The first call only sets where the next one counts from.
+  bool Observe(Instant now, double bytes_in, double bytes_out) {
     if (options_.bytes_per_s <= 0) return false;
-    const double carried = std::max(carried_in - in_, carried_out - out_);
-    const double elapsed = ToSeconds(now - at_);
-    const bool first = at_ == Instant();
-    in_ = carried_in;
-    out_ = carried_out;
-    at_ = now;
+    const double carried =
+        std::max(bytes_in - bytes_in_, bytes_out - bytes_out_);
+    const double elapsed = ToSeconds(now - observed_at_);
+    const bool first = observed_at_ == Instant();
+    bytes_in_ = bytes_in;
+    bytes_out_ = bytes_out;
+    observed_at_ = now;
     if (first || elapsed <= 0) return false;
     const double load = carried / elapsed / options_.bytes_per_s;
     const double weight =
@@ -55,14 +71,14 @@
   }
 
   bool IsBusy() const { return busy_; }
-  // Part of the link that is in use.
+  // Smoothed; 1 is full.
   double load() const { return load_; }
 
  private:
   LinkWatchOptions options_;
-  double in_ = 0;
-  double out_ = 0;
-  Instant at_{};
+  double bytes_in_ = 0;
+  double bytes_out_ = 0;
+  Instant observed_at_{};
   double load_ = 0;
   bool busy_ = false;
 };
