--- a/config/service_map.h
+++ b/config/service_map.h
@@ -28,6 +28,7 @@
 // Whether a request may run more than once, and how its answer comes.
 enum class RouteKind { kIdempotent, kNonIdempotent, kStreaming };
 
+// The words of the metrics' label `kind`; dashboards and alerts read them.
 template <>
 struct EnumTable<RouteKind> {
   static constexpr auto kEntries = std::to_array<EnumEntry<RouteKind>>(
