--- a/config/service_map.h
+++ b/config/service_map.h
@@ -71,11 +71,8 @@
 
 struct ServiceRule {
   ServiceName name;
-  std::string health_path;
-  int max_connections = 100;
   // Of model engines; 0 for other services.
   int engine_slots = 0;
-  Tokens engine_memory = 0;
   // Tokens in one event of a stream.
   int event_tokens = 1;
 
