--- /dev/null
+++ b/base/parse_number.h
@@ -0,0 +1,32 @@
+// Reads a number that is the whole of a text.
+//
+//   ParseNumber<int>("15");                 // 15
+//   ParseNumber<std::uint64_t>("5c1e", 16); // 0x5c1e
+//   ParseNumber<int>("15 ms");              // nothing
+//
+// Nothing is returned for an empty text, blanks, a leading plus, anything after
+// the digits, or a number that `T` can't hold. Bounds are the caller's matter.
+
+#ifndef QUAYTRACK_BASE_PARSE_NUMBER_H_
+#define QUAYTRACK_BASE_PARSE_NUMBER_H_
+
+#include <charconv>
+#include <optional>
+#include <string_view>
+#include <system_error>
+
+namespace quaytrack {
+
+// `T` is an integer type. (No concept says so: peer_link.cc is C++17.)
+template <class T>
+std::optional<T> ParseNumber(std::string_view text, int base = 10) {
+  T out{};
+  const char* end = text.data() + text.size();
+  const auto [stop, ec] = std::from_chars(text.data(), end, out, base);
+  if (ec != std::errc() || stop != end) return std::nullopt;
+  return out;
+}
+
+}  // namespace quaytrack
+
+#endif  // QUAYTRACK_BASE_PARSE_NUMBER_H_
--- a/bundle/line.cc
+++ b/bundle/line.cc
@@ -1,9 +1,10 @@
 #include "bundle/line.h"
 
 #include <algorithm>
-#include <charconv>
 #include <sstream>
 
+#include "base/parse_number.h"
+
 namespace quaytrack {
 namespace {
 
@@ -64,15 +65,13 @@
 std::int64_t BundleLine::ReadNumber(const std::string& field,
                                     const std::string& text, std::int64_t low,
                                     std::int64_t high) {
-  std::int64_t out = low;
-  const char* end = text.data() + text.size();
-  const auto [stop, ec] = std::from_chars(text.data(), end, out);
-  if (ec != std::errc() || stop != end || out < low || out > high) {
+  const auto out = ParseNumber<std::int64_t>(text);
+  if (!out || *out < low || *out > high) {
     Problem(field, "is '" + text + "'; allowed: a whole number from " +
                        std::to_string(low) + " to " + std::to_string(high));
     return low;
   }
-  return out;
+  return *out;
 }
 
 std::int64_t BundleLine::Number(const std::string& field, std::int64_t low,
--- a/net/address.h
+++ b/net/address.h
@@ -6,12 +6,13 @@
 #include <arpa/inet.h>
 #include <netinet/in.h>
 
-#include <charconv>
 #include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
 
+#include "base/parse_number.h"
+
 namespace quaytrack {
 
 struct Address {
@@ -26,9 +27,9 @@
   const std::string_view port = text.substr(colon + 1);
   Address out;
   out.host = std::string(text.substr(0, colon));
-  const char* end = port.data() + port.size();
-  const auto [stop, ec] = std::from_chars(port.data(), end, out.port);
-  if (ec != std::errc() || stop != end) return std::nullopt;
+  const auto number = ParseNumber<std::uint16_t>(port);
+  if (!number) return std::nullopt;
+  out.port = *number;
   return out;
 }
 
--- a/router/ledger_driver.cc
+++ b/router/ledger_driver.cc
@@ -1,10 +1,10 @@
 #include "router/ledger_driver.h"
 
 #include <algorithm>
-#include <charconv>
 #include <utility>
 
 #include "base/log.h"
+#include "base/parse_number.h"
 #include "etcd/keys.h"
 #include "router/ledger_codec.h"
 
@@ -125,12 +125,9 @@
 void LedgerDriver::OnWatchEvents(const std::vector<EtcdWatchEvent>& events) {
   for (const EtcdWatchEvent& it : events) {
     const std::string_view name = it.item.key;
-    int shard = 0;
     const std::string_view number = name.substr(keys::kNeedPrefix.size());
-    const char* end = number.data() + number.size();
-    const auto [stop, ec] = std::from_chars(number.data(), end, shard);
-    const bool readable = ec == std::errc() && stop == end;
-    if (readable && it.item.value != self_.value) sync_.OnNeed(shard);
+    const auto shard = ParseNumber<int>(number);
+    if (shard && it.item.value != self_.value) sync_.OnNeed(*shard);
   }
   Pump();
 }
--- a/router/request_reader.cc
+++ b/router/request_reader.cc
@@ -1,10 +1,10 @@
 #include "router/request_reader.h"
 
 #include <algorithm>
-#include <charconv>
 #include <nlohmann/json.hpp>
 
 #include "base/digest.h"
+#include "base/parse_number.h"
 #include "router/json_check.h"
 
 namespace quaytrack {
@@ -72,16 +72,14 @@
     const HttpExchange& exchange) {
   const auto header = exchange.Header(kDeadlineHeader);
   if (!header) return std::nullopt;
-  std::int64_t n = 0;
-  const char* end = header->data() + header->size();
-  const auto [stop, ec] = std::from_chars(header->data(), end, n);
-  if (ec != std::errc() || stop != end || n < 1 || n > kLongestDeadlineMs) {
+  const auto ms = ParseNumber<std::int64_t>(*header);
+  if (!ms || *ms < 1 || *ms > kLongestDeadlineMs) {
     return Fault(kDeadlineHeader,
                  "X-Deadline-Ms must be a whole number from 1 "
                  "to " +
                      std::to_string(kLongestDeadlineMs));
   }
-  return std::chrono::milliseconds(n);
+  return std::chrono::milliseconds(*ms);
 }
 
 leaf::result<PriorityClass> ReadPriority(const HttpExchange& exchange) {
