--- a/base/digest.h
+++ b/base/digest.h
@@ -1,4 +1,12 @@
-// Digests and text encodings, all by OpenSSL.
+// Digests, text encodings and stable hashes.
+//
+//   const std::string id = Sha256Hex(text);
+//   const std::optional<std::string> bytes = Base64Decode(text);
+//   const std::uint64_t weight = RendezvousWeight(target, part);
+//
+// SHA-256, base64 and random bytes are OpenSSL's; the hash and the rendezvous
+// weight are written out here, since routers of different builds must agree on
+// them. Changing either moves every shard and every preferred target.
 
 #ifndef QUAYTRACK_BASE_DIGEST_H_
 #define QUAYTRACK_BASE_DIGEST_H_
--- a/config/service_map.h
+++ b/config/service_map.h
@@ -1,12 +1,20 @@
-// What the configuration in force says about requests: which service takes
-// them, who may send them, and within which limits.
+// ServiceMap: what the configuration in force says about requests: which
+// service takes them, who may send them, and within which limits.
 //
-//   const RouteMatch it = map.Match("api.example", "/books/7/");
-//   const CustomerRule* who = map.FindKey("secret");
+//   const RouteRule* route = map->Match("api.example", "/books/7/");
+//   const CustomerRule* customer = map->FindKey("secret");
+//   const ServiceName& service = PickService(*route, draw);
 //
-// It is immutable once built; a request keeps the one that it was admitted
-// under (`std::shared_ptr<const ServiceMap>`), so that a change of the
-// configuration doesn't reach into requests that are running.
+// It is immutable once built. A request keeps the one that it was admitted
+// under (`ServiceMapPtr`), so that a change of the configuration doesn't reach
+// into requests that are running; the pointers that it hands out live as long.
+//
+// It owns the rules and relies on nothing. It takes them as they are: what they
+// may hold is checked by who builds it (platform/config_reader.h). Of two
+// routes with the same host and prefix, or two customers with the same key, the
+// later one counts. A lookup that finds nothing returns null.
+//
+// Where the configuration leaves out a field, the defaults below hold.
 
 #ifndef QUAYTRACK_CONFIG_SERVICE_MAP_H_
 #define QUAYTRACK_CONFIG_SERVICE_MAP_H_
@@ -37,29 +45,36 @@
        {RouteKind::kStreaming, "streaming"}});
 };
 
+// A service's part of a route's requests.
 struct ServiceShare {
   ServiceName service;
+  // Relative to the sum of the route's weights.
   int weight = 1;
 };
 
 struct RouteRule {
+  // For the log; may be empty.
   std::string name;
+  // Without a port.
   std::string host;
   // Begins and ends with a slash.
   std::string path_prefix;
   RouteKind kind = RouteKind::kNonIdempotent;
+  // The longest that a request is held, whatever its caller allows.
   std::chrono::milliseconds timeout{30000};
+  // Until an answer is in time; for a stream, until its first event.
   std::chrono::milliseconds target_latency{1000};
   // 0 is the most urgent.
   int priority = 0;
-  // One entry, or several to be chosen from by weight.
+  // At least one entry; of several, one is drawn by weight.
   std::vector<ServiceShare> services;
-  // Targets that one request may be sent to.
+  // Targets that one request may be sent to, the first one included.
   int max_attempts = 1;
   // Needs no key.
   bool open_to_all = false;
   // A broken stream may go on at another target.
   bool resumable = false;
+  // The longest pause between events of a stream that is in time.
   std::chrono::milliseconds target_gap{0};
 
   // A request may be run again although an attempt may have run.
@@ -71,7 +86,7 @@
 
 struct ServiceRule {
   ServiceName name;
-  // Of model engines; 0 for other services.
+  // Requests that one engine runs at once; 0 for other services.
   int engine_slots = 0;
   // Tokens in one event of a stream.
   int event_tokens = 1;
@@ -82,15 +97,21 @@
 struct CustomerRule {
   CustomerName name;
   std::vector<std::string> keys;
+  // 0 is the most urgent. It ranks before the route's.
   int priority = 0;
-  // Tokens that the customer may get in all; negative for no budget.
+  // Tokens that the customer may get in all, prompts and answers together;
+  // negative if it has no budget to keep to.
   Tokens prepaid = -1;
 };
 
+// What a caller may send, and how long it may take.
 struct RequestLimits {
+  // Of the request line and the headers.
   std::size_t max_head_bytes = 16 * 1024;
   std::size_t max_body_bytes = 4 * 1024 * 1024;
+  // From a request's first byte to the end of its head.
   std::chrono::milliseconds head_timeout{3000};
+  // Between two requests, and without progress inside a body.
   std::chrono::milliseconds idle_timeout{15000};
 };
 
@@ -110,6 +131,7 @@
   // The route with the longest prefix of `path` among those of `host`; null if
   // there is none.
   const RouteRule* Match(std::string_view host, std::string_view path) const;
+  // The customer that has this key; null if nobody has.
   const CustomerRule* FindKey(const std::string& key) const;
   const ServiceRule* FindService(const ServiceName& name) const;
 
@@ -121,13 +143,16 @@
   std::vector<ServiceRule> services_;
   std::vector<CustomerRule> customers_;
   RequestLimits limits_;
+  // Positions in `routes_` by prefix, by host.
   std::map<std::string, PrefixMap, std::less<>> hosts_;
+  // Positions in `customers_`.
   std::unordered_map<std::string, std::size_t> keys_;
 };
 
 using ServiceMapPtr = std::shared_ptr<const ServiceMap>;
 
-// The service that a request goes to; `draw` is uniform in [0, 1).
+// The service that a request goes to, drawn by weight. `draw` is uniform in
+// [0, 1). The last service if no weight is above 0.
 const ServiceName& PickService(const RouteRule& route, double draw);
 
 }  // namespace quaytrack
