--- a/config/service_map.h
+++ b/config/service_map.h
@@ -124,7 +124,6 @@
   std::uint64_t version() const { return version_; }
   const RequestLimits& limits() const { return limits_; }
   const std::vector<CustomerRule>& customers() const { return customers_; }
-  const std::vector<ServiceRule>& services() const { return services_; }
   // Without keys, anybody may use every route.
   bool needs_keys() const { return !customers_.empty(); }
 
