--- a/http/caller_connection.cc
+++ b/http/caller_connection.cc
@@ -2,18 +2,17 @@
 
 #include <charconv>
 #include <utility>
-#include <vector>
+
+#include "http/caller_server.h"
 
 namespace quaytrack {
 namespace {
 
-constexpr Duration kSweepEvery = std::chrono::milliseconds(500);
 // How long the rest of a refused request is read and thrown away, so that the
 // refusal isn't lost with a reset.
 constexpr Duration kLingerTime = std::chrono::seconds(2);
 // Bytes of a next request that are taken while an answer is under way.
 constexpr std::size_t kMostPending = 64 * 1024;
-constexpr Duration kUserTimeout = std::chrono::seconds(5);
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
 std::string HeadBytes(const HttpHead& head, std::string_view framing,
@@ -233,49 +232,4 @@
   }
 }
 
-CallerServer::CallerServer(Loop& loop, const Clock& clock)
-    : loop_(loop),
-      clock_(clock),
-      listener_(loop, [this](int fd) { Accept(fd); }),
-      sweep_(loop.Every(kSweepEvery, [this] { Sweep(); })) {}
-
-CallerServer::~CallerServer() {
-  listener_.Stop();
-  for (const auto& it : connections_) it->socket_->Close();
-}
-
-std::uint16_t CallerServer::Listen(const std::string& address) {
-  return listener_.Listen(address);
-}
-
-void CallerServer::Accept(int fd) {
-  TcpOptions options;
-  options.user_timeout = kUserTimeout;
-  auto it = std::make_shared<CallerConnection>(
-      *this, TcpSocket::Adopt(loop_, fd, options));
-  connections_.insert(it);
-  it->Start();
-}
-
-void CallerServer::Sweep() {
-  const Instant now = clock_.Now();
-  const std::vector<std::shared_ptr<CallerConnection>> all(connections_.begin(),
-                                                           connections_.end());
-  for (const auto& it : all) it->Sweep(now);
-}
-
-void CallerServer::CloseIdle() {
-  const std::vector<std::shared_ptr<CallerConnection>> all(connections_.begin(),
-                                                           connections_.end());
-  for (const auto& it : all) {
-    if (it->phase_ == CallerConnection::Phase::kIdle) it->Abort();
-  }
-}
-
-void CallerServer::Forget(const std::shared_ptr<CallerConnection>& it) {
-  // Posted: the connection may be in the middle of its own work.
-  loop_.Post([keep = it] {});
-  connections_.erase(it);
-}
-
 }  // namespace quaytrack
--- a/http/caller_connection.h
+++ b/http/caller_connection.h
@@ -16,7 +16,6 @@
 
 #include <functional>
 #include <memory>
-#include <set>
 #include <string>
 #include <string_view>
 
@@ -101,47 +100,6 @@
   std::function<void()> on_drained_;
 };
 
-class CallerServer {
- public:
-  using Handler =
-      std::function<void(std::shared_ptr<CallerConnection>, CallerRequest)>;
-
-  CallerServer(Loop& loop, const Clock& clock);
-  ~CallerServer();
-  CallerServer(const CallerServer&) = delete;
-  CallerServer& operator=(const CallerServer&) = delete;
-
-  void Serve(Handler handler) { handler_ = std::move(handler); }
-  void SetLimits(const CallerLimits& limits) { limits_ = limits; }
-  const CallerLimits& limits() const { return limits_; }
-
-  // Returns the bound port, or 0.
-  std::uint16_t Listen(const std::string& address);
-  // Accepts no more connections; open ones go on.
-  void StopListening() { listener_.Stop(); }
-  // From now on every answer is the last of its connection.
-  void StartClosing() { closing_ = true; }
-  bool closing() const { return closing_; }
-  // Closes the connections that have no request under way.
-  void CloseIdle();
-  std::size_t connections() const { return connections_.size(); }
-
- private:
-  friend class CallerConnection;
-  void Accept(int fd);
-  void Sweep();
-  void Forget(const std::shared_ptr<CallerConnection>& it);
-
-  Loop& loop_;
-  const Clock& clock_;
-  CallerLimits limits_;
-  Handler handler_;
-  bool closing_ = false;
-  TcpListener listener_;
-  std::set<std::shared_ptr<CallerConnection>> connections_;
-  std::unique_ptr<Timer> sweep_;
-};
-
 }  // namespace quaytrack
 
 #endif  // QUAYTRACK_HTTP_CALLER_CONNECTION_H_
--- /dev/null
+++ b/http/caller_server.cc
@@ -0,0 +1,58 @@
+#include "http/caller_server.h"
+
+#include <vector>
+
+namespace quaytrack {
+namespace {
+
+constexpr Duration kSweepEvery = std::chrono::milliseconds(500);
+constexpr Duration kUserTimeout = std::chrono::seconds(5);
+
+}  // namespace
+
+CallerServer::CallerServer(Loop& loop, const Clock& clock)
+    : loop_(loop),
+      clock_(clock),
+      listener_(loop, [this](int fd) { Accept(fd); }),
+      sweep_(loop.Every(kSweepEvery, [this] { Sweep(); })) {}
+
+CallerServer::~CallerServer() {
+  listener_.Stop();
+  for (const auto& it : connections_) it->socket_->Close();
+}
+
+std::uint16_t CallerServer::Listen(const std::string& address) {
+  return listener_.Listen(address);
+}
+
+void CallerServer::Accept(int fd) {
+  TcpOptions options;
+  options.user_timeout = kUserTimeout;
+  auto it = std::make_shared<CallerConnection>(
+      *this, TcpSocket::Adopt(loop_, fd, options));
+  connections_.insert(it);
+  it->Start();
+}
+
+void CallerServer::Sweep() {
+  const Instant now = clock_.Now();
+  const std::vector<std::shared_ptr<CallerConnection>> all(connections_.begin(),
+                                                           connections_.end());
+  for (const auto& it : all) it->Sweep(now);
+}
+
+void CallerServer::CloseIdle() {
+  const std::vector<std::shared_ptr<CallerConnection>> all(connections_.begin(),
+                                                           connections_.end());
+  for (const auto& it : all) {
+    if (it->phase_ == CallerConnection::Phase::kIdle) it->Abort();
+  }
+}
+
+void CallerServer::Forget(const std::shared_ptr<CallerConnection>& it) {
+  // Posted: the connection may be in the middle of its own work.
+  loop_.Post([keep = it] {});
+  connections_.erase(it);
+}
+
+}  // namespace quaytrack
--- /dev/null
+++ b/http/caller_server.h
@@ -0,0 +1,80 @@
+// CallerServer: accepts callers' connections and keeps those that are open.
+//
+//   CallerServer server(loop, clock);
+//   server.SetLimits(limits);
+//   server.Serve([](std::shared_ptr<CallerConnection> caller,
+//                   CallerRequest request) {
+//     caller->Reply(head, body);
+//   });
+//   if (server.Listen("127.0.0.1:8080") == 0) ...   // the address is taken
+//
+// A stop goes step by step, so that no request is lost with its connection:
+// `StartClosing` makes each answer the last of its connection, `StopListening`
+// takes no new ones, `CloseIdle` ends those without a request.
+//
+// It owns the connections and relies on the loop and the clock, which must
+// outlive it. A connection that was accepted and fails later is its own matter;
+// the one error here is an address that can't be listened on.
+
+#ifndef QUAYTRACK_HTTP_CALLER_SERVER_H_
+#define QUAYTRACK_HTTP_CALLER_SERVER_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <set>
+#include <string>
+#include <utility>
+
+#include "base/clock.h"
+#include "http/caller_connection.h"
+#include "net/loop.h"
+#include "net/tcp_socket.h"
+
+namespace quaytrack {
+
+class CallerServer {
+ public:
+  using Handler =
+      std::function<void(std::shared_ptr<CallerConnection>, CallerRequest)>;
+
+  CallerServer(Loop& loop, const Clock& clock);
+  ~CallerServer();
+  CallerServer(const CallerServer&) = delete;
+  CallerServer& operator=(const CallerServer&) = delete;
+
+  void Serve(Handler handler) { handler_ = std::move(handler); }
+  void SetLimits(const CallerLimits& limits) { limits_ = limits; }
+  const CallerLimits& limits() const { return limits_; }
+
+  // Returns the bound port, or 0.
+  std::uint16_t Listen(const std::string& address);
+  // Accepts no more connections; open ones go on.
+  void StopListening() { listener_.Stop(); }
+  // From now on every answer is the last of its connection.
+  void StartClosing() { closing_ = true; }
+  bool closing() const { return closing_; }
+  // Closes the connections that have no request under way.
+  void CloseIdle();
+  std::size_t connections() const { return connections_.size(); }
+
+ private:
+  friend class CallerConnection;
+  void Accept(int fd);
+  void Sweep();
+  void Forget(const std::shared_ptr<CallerConnection>& it);
+
+  Loop& loop_;
+  const Clock& clock_;
+  CallerLimits limits_;
+  Handler handler_;
+  bool closing_ = false;
+  TcpListener listener_;
+  std::set<std::shared_ptr<CallerConnection>> connections_;
+  std::unique_ptr<Timer> sweep_;
+};
+
+}  // namespace quaytrack
+
+#endif  // QUAYTRACK_HTTP_CALLER_SERVER_H_
--- a/http/testing/connections_test.cc
+++ b/http/testing/connections_test.cc
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "http/caller_connection.h"
+#include "http/caller_server.h"
 #include "http/target_connection.h"
 
 namespace quaytrack {
--- a/relay/relay_router.h
+++ b/relay/relay_router.h
@@ -11,7 +11,7 @@
 #include "base/clock.h"
 #include "chart/drain_chart.h"
 #include "dispatch/link_watch.h"
-#include "http/caller_connection.h"
+#include "http/caller_server.h"
 #include "http/target_connection.h"
 #include "net/loop.h"
 #include "relay/budget_driver.h"
