--- a/http/caller_connection.cc
+++ b/http/caller_connection.cc
@@ -14,6 +14,8 @@
 // Bytes of a next request that are taken while an answer is under way; then
 // reading stops. Not measured.
 constexpr std::size_t kMaxPending = 64 * 1024;
+// Room for a chunk's framing: its size in hex digits and two line ends.
+constexpr std::size_t kChunkFraming = 16;
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
 std::string HeadBytes(const HttpHead& head, std::string_view framing,
@@ -150,8 +152,8 @@
 void CallerConnection::WriteChunk(std::string_view bytes) {
   if (!open() || bytes.empty()) return;
   std::string out;
-  out.reserve(bytes.size() + 16);
-  char size[16];
+  out.reserve(bytes.size() + kChunkFraming);
+  char size[kChunkFraming];
   const auto [end, ec] =
       std::to_chars(size, size + sizeof size, bytes.size(), 16);
   out.append(size, end);
--- a/http/caller_server.h
+++ b/http/caller_server.h
@@ -46,7 +46,7 @@
 
   // `handler` takes each request that keeps to limits and protocol.
   void Serve(Handler handler) { handler_ = std::move(handler); }
-  // They hold for requests that begin from now on, times also for running ones.
+  // Sizes hold for requests that begin from now on, times at once.
   void SetLimits(const CallerLimits& limits) { limits_ = limits; }
   const CallerLimits& limits() const { return limits_; }
 
--- a/http/http_parser.cc
+++ b/http/http_parser.cc
@@ -9,9 +9,11 @@
 namespace quaytrack {
 namespace {
 
-// The library's own bound is one for the process; ours is for each parser.
+// The library's own bound on a head, in bytes, is one for the process; it
+// stands above any limit that a parser of ours may have. Not measured.
 constexpr std::uint32_t kLibraryHeadBytes = 1 << 20;
-constexpr std::size_t kMostHeaders = 200;
+// Headers of one message, as each is looked at several times. Not measured.
+constexpr std::size_t kMaxHeaders = 200;
 
 bool HasControl(std::string_view text) {
   return std::any_of(text.begin(), text.end(), [](char it) {
@@ -32,16 +34,19 @@
   Handlers on;
   HttpLimits limits;
   http_parser library{};
-  http_parser_settings settings{};
   HttpHead head;
-  bool value_next = false;
+  // The last header has some of its value, so a name begins the next one.
+  bool in_value = false;
+  // Some bytes of the present message have come.
   bool in_message = false;
   bool in_head = true;
   bool complete = false;
+  // Of the present message; the head's before it is complete.
   std::size_t head_bytes = 0;
   std::size_t body_bytes = 0;
   HttpFault fault = HttpFault::kNone;
 
+  static http_parser_settings Callbacks();
   static State& Of(http_parser* it) { return *static_cast<State*>(it->data); }
 
   void Begin() {
@@ -49,7 +54,7 @@
                      kind == Kind::kRequest ? HTTP_REQUEST : HTTP_RESPONSE);
     library.data = this;
     head = HttpHead();
-    value_next = false;
+    in_value = false;
     in_message = false;
     in_head = true;
     complete = false;
@@ -58,25 +63,25 @@
   }
 
   void AddName(std::string_view part) {
-    if (value_next || head.headers.empty()) head.headers.emplace_back();
-    value_next = false;
+    if (in_value || head.headers.empty()) head.headers.emplace_back();
+    in_value = false;
     head.headers.back().name.append(part);
   }
 
   void AddValue(std::string_view part) {
-    value_next = true;
+    in_value = true;
     head.headers.back().value.append(part);
   }
 
-  bool HeadersAreSound() const {
-    if (head.headers.size() > kMostHeaders) return false;
+  bool HeadersAreValid() const {
+    if (head.headers.size() > kMaxHeaders) return false;
     return std::all_of(head.headers.begin(), head.headers.end(),
                        [](const HttpHeader& it) {
                          return IsPlainName(it.name) && !HasControl(it.value);
                        });
   }
 
-  bool RequestIsSound() const {
+  bool RequestIsUnambiguous() const {
     const std::string* coding = head.Find("transfer-encoding");
     if (coding != nullptr && !SameHeaderName(*coding, "chunked")) return false;
     if (coding != nullptr && head.Count("content-length") > 0) return false;
@@ -105,14 +110,14 @@
       head.content_length = library.content_length;
     }
     head.keep_alive = http_should_keep_alive(&library) != 0;
-    bool sound = HeadersAreSound();
+    bool valid = HeadersAreValid();
     if (kind == Kind::kRequest) {
       head.method = http_method_str(static_cast<http_method>(library.method));
-      sound = sound && RequestIsSound();
+      valid = valid && RequestIsUnambiguous();
     } else {
       head.status = library.status_code;
     }
-    if (!sound) return Fail(HttpFault::kMalformed);
+    if (!valid) return Fail(HttpFault::kMalformed);
     if (head.content_length.value_or(0) > limits.max_body_bytes) {
       return Fail(HttpFault::kBodyTooLarge);
     }
@@ -129,20 +134,23 @@
     return 0;
   }
 
+  // No bytes mean that the connection has ended.
+  std::size_t Execute(std::string_view bytes) {
+    static const http_parser_settings kCallbacks = Callbacks();
+    return http_parser_execute(&library, &kCallbacks, bytes.data(),
+                               bytes.size());
+  }
+
   int Fail(HttpFault why) {
     fault = why;
     return -1;
   }
 };
 
-HttpParser::HttpParser(Kind kind, Handlers handlers, HttpLimits limits)
-    : state_(std::make_unique<State>()) {
-  http_parser_set_max_header_size(kLibraryHeadBytes);
-  State& s = *state_;
-  s.kind = kind;
-  s.on = std::move(handlers);
-  s.limits = limits;
-  http_parser_settings& on = s.settings;
+// What the library calls; `data` of its parser is the state.
+http_parser_settings HttpParser::State::Callbacks() {
+  http_parser_settings on;
+  http_parser_settings_init(&on);
   on.on_message_begin = [](http_parser* it) {
     State::Of(it).in_message = true;
     return 0;
@@ -174,6 +182,16 @@
     http_parser_pause(it, 1);
     return 0;
   };
+  return on;
+}
+
+HttpParser::HttpParser(Kind kind, Handlers handlers, HttpLimits limits)
+    : state_(std::make_unique<State>()) {
+  http_parser_set_max_header_size(kLibraryHeadBytes);
+  State& s = *state_;
+  s.kind = kind;
+  s.on = std::move(handlers);
+  s.limits = limits;
   s.Begin();
 }
 
@@ -183,8 +201,7 @@
   State& s = *state_;
   if (s.fault != HttpFault::kNone || bytes.empty()) return 0;
   const bool was_in_head = s.in_head;
-  const std::size_t used =
-      http_parser_execute(&s.library, &s.settings, bytes.data(), bytes.size());
+  const std::size_t used = s.Execute(bytes);
   if (s.complete) {
     s.Begin();
     s.on.complete();
@@ -205,7 +222,7 @@
 bool HttpParser::FeedEnd() {
   State& s = *state_;
   if (s.fault != HttpFault::kNone || !s.in_message || s.in_head) return false;
-  http_parser_execute(&s.library, &s.settings, nullptr, 0);
+  s.Execute({});
   if (!s.complete) return false;
   s.Begin();
   s.on.complete();
