--- /dev/null
+++ b/prepaid/testing/record_test.cc
@@ -0,0 +1,87 @@
+// The prepaid record by itself: its stored form, which routers of other builds
+// read and write beside this one, and its arithmetic.
+
+#include <boost/test/unit_test.hpp>
+#include <nlohmann/json.hpp>
+
+#include "prepaid/prepaid_record.h"
+
+namespace quaytrack {
+namespace {
+
+using Json = nlohmann::json;
+
+const CustomerName kCustomer("clinic");
+const Incarnation kOne("vm1@1");
+const Incarnation kTwo("vm2@1");
+
+PrepaidRecord Record() {
+  PrepaidRecord out;
+  out.members = {kOne, kTwo};
+  PrepaidEntry& entry = out.customers[kCustomer];
+  entry.limit = 1000;
+  entry.limit_version = 7;
+  entry.settled = 200;
+  entry.grants = {{kOne, 300}, {kTwo, 100}};
+  out.Book(kCustomer, {kOne, kTwo}, 50);
+  return out;
+}
+
+// Names once, and numbers in their place.
+BOOST_AUTO_TEST_CASE(TheRecordKeepsItsStoredForm) {
+  const Json expected = Json::parse(R"({
+      "customers": {"clinic":
+          [1000, 7, 200, [[0, 250], [1, 150]], [[0, 1, 50]]]},
+      "members": [0, 1],
+      "names": ["vm1@1", "vm2@1"]})");
+  BOOST_TEST(Json::from_cbor(EncodePrepaid(Record())) == expected);
+  BOOST_TEST((DecodePrepaid(EncodePrepaid(Record())) == Record()));
+}
+
+BOOST_AUTO_TEST_CASE(TheSpendAccountKeepsItsStoredForm) {
+  PrepaidSpend spend;
+  spend.sequence = 3;
+  spend.stamp_ms = 123456;
+  spend.boot = "b";
+  spend.customers[kCustomer] = {40, 210};
+  const Json expected = Json::parse(R"({
+      "sequence": 3, "stamp": 123456, "boot": "b",
+      "customers": {"clinic": [40, 210]}})");
+  BOOST_TEST(Json::from_cbor(EncodeSpend(spend)) == expected);
+  BOOST_TEST((DecodeSpend(EncodeSpend(spend)) == spend));
+}
+
+// A total that was known before, or is older, changes nothing.
+BOOST_AUTO_TEST_CASE(AMoveCountsOnceInTheRecord) {
+  PrepaidRecord record = Record();
+  record.Book(kCustomer, {kOne, kTwo}, 50);
+  record.Book(kCustomer, {kOne, kTwo}, 20);
+  BOOST_TEST((record == Record()));
+  record.Book(kCustomer, {kOne, kTwo}, 80);
+  BOOST_TEST(record.customers[kCustomer].grants[kOne] == 220);
+  BOOST_TEST(record.customers[kCustomer].grants[kTwo] == 180);
+}
+
+// What the dead one had passed on wasn't spent by it.
+BOOST_AUTO_TEST_CASE(AMoveBookedAfterADeathCorrectsTheCharge) {
+  PrepaidRecord record = Record();
+  BOOST_TEST(record.Close(kOne, nullptr) == 250);
+  PrepaidEntry& entry = record.customers[kCustomer];
+  BOOST_TEST(entry.settled == 450);
+  BOOST_TEST(!record.members.contains(kOne));
+  record.Book(kCustomer, {kOne, kTwo}, 80);
+  BOOST_TEST(entry.settled == 420);
+  BOOST_TEST(entry.grants[kTwo] == 180);
+}
+
+BOOST_AUTO_TEST_CASE(WhatADeadMemberLockedIsNotCharged) {
+  PrepaidRecord record = Record();
+  PrepaidSpend spend;
+  spend.customers[kCustomer] = {0, 200};
+  BOOST_TEST(record.Close(kOne, &spend) == 50);
+  BOOST_TEST(record.customers[kCustomer].settled == 250);
+  BOOST_TEST(record.customers[kCustomer].Free() == 600);
+}
+
+}  // namespace
+}  // namespace quaytrack
--- /dev/null
+++ b/relay/testing/peer_messages_test.cc
@@ -0,0 +1,116 @@
+// The form of peer messages on the wire, which routers of other builds read:
+// words, field names and types stay as they are.
+
+#include "relay/peer_messages.h"
+
+#include <boost/test/unit_test.hpp>
+#include <nlohmann/json.hpp>
+#include <string>
+
+#include "base/cbor.h"
+
+namespace quaytrack {
+namespace {
+
+using Json = nlohmann::json;
+
+PeerMessage Message(PeerMessageKind kind) {
+  PeerMessage out;
+  out.kind = kind;
+  out.from = Incarnation("vm1@1");
+  return out;
+}
+
+// Compares with `text` in JSON, and decodes what was encoded.
+void Check(const PeerMessage& message, const char* text) {
+  const std::string bytes = EncodePeerMessage(message);
+  BOOST_TEST(Json::from_cbor(bytes) == Json::parse(text));
+  const auto back = DecodePeerMessage(bytes);
+  BOOST_REQUIRE(back.has_value());
+  BOOST_TEST(EncodePeerMessage(*back) == bytes);
+}
+
+BOOST_AUTO_TEST_CASE(GreetingsKeepTheirForm) {
+  PeerMessage it = Message(PeerMessageKind::kHello);
+  it.hall = HallName("a");
+  it.address = "10.0.0.1:8082";
+  it.config_version = 7;
+  it.keeps_budgets = true;
+  it.targets_revision = 12;
+  Check(it, R"({"kind": "hello", "from": "vm1@1", "hall": "a",
+                "address": "10.0.0.1:8082", "config": 7, "keeps": true,
+                "targets": 12})");
+  Check(Message(PeerMessageKind::kPing),
+        R"({"kind": "ping", "from": "vm1@1"})");
+}
+
+BOOST_AUTO_TEST_CASE(MessagesAboutGrantsKeepTheirForm) {
+  PeerMessage it = Message(PeerMessageKind::kAsk);
+  it.customer = CustomerName("clinic");
+  it.amount = 500;
+  it.all = true;
+  Check(it, R"({"kind": "ask", "from": "vm1@1", "customer": "clinic",
+                "all": true, "amount": 500})");
+  it.kind = PeerMessageKind::kMove;
+  it.all = false;
+  Check(it, R"({"kind": "move", "from": "vm1@1", "customer": "clinic",
+                "all": false, "amount": 500})");
+}
+
+BOOST_AUTO_TEST_CASE(MessagesAboutHoldsKeepTheirForm) {
+  PeerMessage it = Message(PeerMessageKind::kHold);
+  it.request = RequestId("r");
+  it.customer = CustomerName("clinic");
+  it.amount = 130;
+  Check(it, R"({"kind": "hold", "from": "vm1@1", "customer": "clinic",
+                "all": false, "amount": 130, "request": "r"})");
+  it = Message(PeerMessageKind::kSettle);
+  it.request = RequestId("r");
+  it.amount = 40;
+  Check(it, R"({"kind": "settle", "from": "vm1@1", "request": "r",
+                "amount": 40})");
+  it = Message(PeerMessageKind::kSettled);
+  it.request = RequestId("r");
+  Check(it, R"({"kind": "settled", "from": "vm1@1", "request": "r"})");
+}
+
+BOOST_AUTO_TEST_CASE(AnswersToHoldsKeepTheirForm) {
+  PeerMessage it = Message(PeerMessageKind::kHoldAnswer);
+  it.request = RequestId("r");
+  const std::pair<HoldAnswer, std::string> answers[] = {
+      {HoldAnswer::kHeld, "held"},
+      {HoldAnswer::kShort, "short"},
+      {HoldAnswer::kExhausted, "exhausted"},
+      {HoldAnswer::kElsewhere, "elsewhere"}};
+  for (const auto& [answer, word] : answers) {
+    it.answer = answer;
+    const std::string text =
+        R"({"kind": "hold_answer", "from": "vm1@1", "request": "r",
+            "answer": ")" +
+        word + "\"}";
+    Check(it, text.c_str());
+  }
+}
+
+BOOST_AUTO_TEST_CASE(ConfigurationsKeepTheirForm) {
+  Check(Message(PeerMessageKind::kConfigWanted),
+        R"({"kind": "config_wanted", "from": "vm1@1"})");
+  PeerMessage it = Message(PeerMessageKind::kConfig);
+  it.item_key = "k";
+  it.item_value = "v";
+  Check(it, R"({"kind": "config", "from": "vm1@1", "key": "k",
+                "value": "v"})");
+}
+
+BOOST_AUTO_TEST_CASE(WhatIsNotKnownIsSkipped) {
+  const Json more = {{"kind", "ping"}, {"from", "vm1@1"}, {"later", 1}};
+  const auto it = DecodePeerMessage(ToCbor(more));
+  BOOST_REQUIRE(it.has_value());
+  BOOST_TEST((it->kind == PeerMessageKind::kPing));
+  const Json other = {{"kind", "later"}, {"from", "vm1@1"}};
+  BOOST_TEST(!DecodePeerMessage(ToCbor(other)).has_value());
+  BOOST_TEST(!DecodePeerMessage("no message").has_value());
+}
+
+}  // namespace
+}  // namespace quaytrack
