--- /dev/null
+++ b/relay/testing/budgets_test.cc
@@ -0,0 +1,681 @@
+// A router's budgets as a whole: requests that hold and wait, the store with
+// its answers and without them, and peers that ask and give. The loop and its
+// timers are real; the clock can be stopped, so that limits of time are tested
+// to the millisecond on any machine. The store is a map, and peers are lists of
+// messages.
+
+#include <algorithm>
+#include <boost/test/unit_test.hpp>
+#include <map>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "prepaid/prepaid_record.h"
+#include "relay/budget_driver.h"
+
+namespace quaytrack {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+constexpr Tokens kLimit = 100000;
+constexpr char kRecordKey[] = "quaytrack/prepaid";
+const CustomerName kCustomer("clinic");
+const Incarnation kSelf("vm1@1");
+const Incarnation kPeer("vm2@1");
+// Only bounds a test that hangs; nothing is expected to take so long.
+constexpr Duration kLongest = seconds(10);
+
+// The machine's clock until it is stopped; then only `Advance` moves it.
+class TestClock final : public Clock {
+ public:
+  Instant Now() const override { return stopped_ ? at_ : SystemClock().Now(); }
+  WallTime WallNow() const override { return SystemClock().WallNow(); }
+  void Stop() {
+    at_ = Now();
+    stopped_ = true;
+  }
+  void Advance(Duration time) { at_ += time; }
+
+ private:
+  bool stopped_ = false;
+  Instant at_{};
+};
+
+// What a store does with calls.
+enum class StoreMode {
+  kNormal,
+  kSilent,       // takes calls and never answers
+  kLosesWrites,  // they aren't done, and end without an answer
+  kAway,         // calls end without an answer
+};
+
+class FakeStore final : public KvStore {
+ public:
+  explicit FakeStore(Loop& loop) : loop_(loop) {}
+
+  CallPtr Range(const std::string& prefix,
+                std::function<void(const StoreSnapshot&)> done) override {
+    ++reads;
+    StoreSnapshot out;
+    out.end = mode == StoreMode::kAway ? StoreEnd::kUnknown : StoreEnd::kDone;
+    for (const auto& [key, item] : items) {
+      if (key.starts_with(prefix)) out.items.push_back(item);
+    }
+    return Report(std::move(out), std::move(done));
+  }
+
+  CallPtr Write(const StoreWrite& write,
+                std::function<void(const StoreWritten&)> done) override {
+    ++writes;
+    StoreWritten out;
+    if (mode == StoreMode::kNormal) out = Apply(write);
+    return Report(std::move(out), std::move(done));
+  }
+
+  CallPtr Wait(const std::string&, std::int64_t, Duration,
+               std::function<void(const StoreChanges&)>) override {
+    return nullptr;
+  }
+  std::uint64_t calls() const override { return reads + writes; }
+
+  void Put(const std::string& key, const std::string& value) {
+    items[key] = {key, value, ++revision};
+  }
+
+  StoreMode mode = StoreMode::kNormal;
+  std::map<std::string, StoreItem> items;
+  std::int64_t revision = 0;
+  std::uint64_t reads = 0;
+  std::uint64_t writes = 0;
+
+ private:
+  struct FakeCall : Call {
+    std::shared_ptr<bool> live = std::make_shared<bool>(true);
+    ~FakeCall() override { *live = false; }
+  };
+
+  template <class Result>
+  CallPtr Report(Result result, std::function<void(const Result&)> done) {
+    auto out = std::make_unique<FakeCall>();
+    if (mode == StoreMode::kSilent) return out;
+    loop_.Post(
+        [result = std::move(result), done = std::move(done), live = out->live] {
+          if (*live) done(result);
+        });
+    return out;
+  }
+
+  StoreWritten Apply(const StoreWrite& write) {
+    StoreWritten out;
+    out.end = StoreEnd::kDone;
+    for (const StoreCondition& it : write.conditions) {
+      const auto found = items.find(it.key);
+      const std::int64_t at = found == items.end() ? 0 : found->second.revision;
+      if (at != it.revision) out.end = StoreEnd::kRejected;
+      out.present.push_back(found == items.end() ? StoreItem{it.key, "", 0}
+                                                 : found->second);
+    }
+    if (out.end == StoreEnd::kRejected) return out;
+    out.present.clear();
+    out.revision = ++revision;
+    for (const StoreItem& it : write.puts) {
+      items[it.key] = {it.key, it.value, revision};
+    }
+    for (const std::string& it : write.removes) items.erase(it);
+    return out;
+  }
+
+  Loop& loop_;
+};
+
+struct Waiter final : HoldWaiter {
+  Waiter(std::string name, Tokens worst, std::vector<std::string>& order)
+      : id_(std::move(name)), worst_(worst), order_(order) {}
+  const RequestId& id() const override { return id_; }
+  const CustomerName& customer() const override { return kCustomer; }
+  Tokens worst_case() const override { return worst_; }
+  void OnHeld() override {
+    ++held;
+    order_.push_back(id_.value);
+  }
+  void OnHoldRefused(bool exhausted) override {
+    ++refused;
+    was_exhausted = exhausted;
+    order_.push_back(id_.value);
+  }
+  int answers() const { return held + refused; }
+
+  RequestId id_;
+  Tokens worst_;
+  std::vector<std::string>& order_;
+  int held = 0;
+  int refused = 0;
+  bool was_exhausted = false;
+};
+using WaiterPtr = std::shared_ptr<Waiter>;
+
+struct Sent {
+  Incarnation to;
+  PeerMessage message;
+};
+
+struct Fixture {
+  Fixture() : Fixture(FleetOptions()) {}
+  explicit Fixture(FleetOptions options)
+      : fleet({VmName("vm1"), HallName("a"), "h:1"}, options),
+        budgets(loop, clock, store, fleet, {kSelf, "boot", clock.Now()},
+                PrepaidPolicy()) {
+    BudgetDriver::Handlers on;
+    on.broadcast = [this](const PeerMessage& it) {
+      broadcasts.push_back({{}, it});
+    };
+    on.tell = [this](const Incarnation& to, const PeerMessage& it) {
+      told.push_back({to, it});
+    };
+    on.linked = [this](const VmName& vm) {
+      return Incarnation(linked ? vm.value + "@1" : "");
+    };
+    on.store_reachable = [this](bool it) { reachable.push_back(it); };
+    budgets.SetHandlers(on);
+    PrepaidRecord record;
+    record.members.insert(kPeer);
+    store.Put(kRecordKey, EncodePrepaid(record));
+  }
+
+  void Configure(std::uint64_t version = 1, Tokens limit = kLimit) {
+    CustomerRule rule;
+    rule.name = kCustomer;
+    rule.prepaid = limit;
+    budgets.SetConfig(ServiceMap(version, {}, {}, {rule}, {}));
+  }
+
+  // Starts, and waits until this router has its part of the budget.
+  void Join() {
+    Configure();
+    budgets.Start();
+    budgets.TakePartIfHolder();
+    BOOST_REQUIRE(RunUntil([&] { return Allowance() > 0; }));
+  }
+
+  // The same, and then time stands still.
+  void JoinAndStop(StoreMode mode = StoreMode::kSilent) {
+    Join();
+    store.mode = mode;
+    clock.Stop();
+    // Past the shortest time between two writes.
+    clock.Advance(PrepaidPolicy().urgent_spacing);
+  }
+
+  bool RunUntil(const std::function<bool()>& done, Duration most = kLongest) {
+    const auto watch = loop.Every(milliseconds(1), [&] {
+      if (done()) loop.Stop();
+    });
+    const auto end = loop.After(most, [&] { loop.Stop(); });
+    if (!done()) loop.Run();
+    return done();
+  }
+  // A few rounds of each timer, for what must not happen.
+  void RunSome() {
+    RunUntil([] { return false; }, milliseconds(50));
+  }
+  bool Answered(const Waiter& it) {
+    return RunUntil([&] { return it.answers() > 0; });
+  }
+
+  WaiterPtr Make(const std::string& name, Tokens worst) {
+    return std::make_shared<Waiter>(name, worst, order);
+  }
+  Tokens Allowance() const {
+    return budgets.ledger().Allowance(clock.Now(), kCustomer);
+  }
+  PrepaidRecord Record() const {
+    return *DecodePrepaid(store.items.at(kRecordKey).value);
+  }
+  // What this router has reported as spent, in its account and in the record.
+  Tokens Reported() {
+    Tokens out = Record().customers[kCustomer].settled;
+    const auto it = store.items.find("quaytrack/spend/" + kSelf.value);
+    if (it == store.items.end()) return out;
+    return out + DecodeSpend(it->second.value)->customers[kCustomer].spent;
+  }
+  std::vector<Sent> ToldOf(PeerMessageKind kind) const {
+    std::vector<Sent> out;
+    for (const Sent& it : told) {
+      if (it.message.kind == kind) out.push_back(it);
+    }
+    return out;
+  }
+
+  static PeerMessage Message(PeerMessageKind kind, Tokens amount,
+                             const std::string& request = "") {
+    PeerMessage out;
+    out.kind = kind;
+    out.from = kPeer;
+    out.customer = kCustomer;
+    out.amount = amount;
+    out.request = RequestId(request);
+    return out;
+  }
+
+  Loop loop;
+  TestClock clock;
+  FakeStore store{loop};
+  FleetDirectory fleet;
+  bool linked = true;
+  std::vector<std::string> order;
+  std::vector<Sent> broadcasts;
+  std::vector<Sent> told;
+  std::vector<bool> reachable;
+  BudgetDriver budgets;
+};
+
+// --- Holds and costs ---------------------------------------------------------
+
+BOOST_FIXTURE_TEST_CASE(AHoldIsCountedOnceAndSettledAtItsCost, Fixture) {
+  JoinAndStop();
+  const Tokens before = Allowance();
+  const WaiterPtr it = Make("r", 1000);
+  BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kHeld));
+  BOOST_TEST(Allowance() == before - 1000);
+  budgets.Settle(*it, 400);
+  BOOST_TEST(Allowance() == before - 400);
+  // Told by what `Hold` returned, and not a second time.
+  RunSome();
+  BOOST_TEST(it->answers() == 0);
+}
+
+BOOST_FIXTURE_TEST_CASE(TheStoreIsToldWhatWasSpent, Fixture) {
+  JoinAndStop(StoreMode::kNormal);
+  const WaiterPtr it = Make("r", 1000);
+  BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kHeld));
+  budgets.Settle(*it, 400);
+  clock.Advance(PrepaidPolicy().report_every);
+  BOOST_TEST(RunUntil([&] { return Reported() != 0; }));
+  BOOST_TEST(Reported() == 400);
+}
+
+BOOST_FIXTURE_TEST_CASE(ACustomerWithoutABudgetIsNotLimited, Fixture) {
+  Configure(1, -1);
+  BOOST_TEST((budgets.Hold(Make("r", kLimit)) == PrepaidVerdict::kHeld));
+}
+
+BOOST_FIXTURE_TEST_CASE(WhatTheBudgetCantHoldIsRefusedAtOnce, Fixture) {
+  Join();
+  BOOST_TEST((budgets.Hold(Make("r", kLimit)) == PrepaidVerdict::kExhausted));
+  RunSome();
+  BOOST_TEST(broadcasts.empty());
+}
+
+// --- Waiting -----------------------------------------------------------------
+
+BOOST_FIXTURE_TEST_CASE(AWaitingRequestIsHeldOnceTheStoreGrantsMore, Fixture) {
+  JoinAndStop(StoreMode::kNormal);
+  const WaiterPtr it = Make("r", 40000);
+  BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
+  BOOST_TEST(Answered(*it));
+  BOOST_TEST(it->held == 1);
+  clock.Advance(seconds(1));
+  RunSome();
+  BOOST_TEST(it->answers() == 1);
+  BOOST_TEST(broadcasts.empty());
+}
+
+BOOST_FIXTURE_TEST_CASE(ASmallRequestDoesntOvertakeOneThatWaits, Fixture) {
+  JoinAndStop();
+  const WaiterPtr large = Make("large", 40000);
+  const WaiterPtr small = Make("small", 1);
+  BOOST_TEST((budgets.Hold(large) == PrepaidVerdict::kShort));
+  BOOST_TEST((budgets.Hold(small) == PrepaidVerdict::kShort));
+  RunSome();
+  BOOST_TEST(order.empty());
+  // What a peer transfers serves both, in their order.
+  budgets.OnPeer(Message(PeerMessageKind::kMove, 40000));
+  BOOST_TEST(RunUntil([&] { return order.size() == 2; }));
+  const std::vector<std::string> expected = {"large", "small"};
+  BOOST_TEST(order == expected);
+  BOOST_TEST(large->held == 1);
+  BOOST_TEST(small->held == 1);
+}
+
+BOOST_FIXTURE_TEST_CASE(AWaitEndsAfterItsPatience, Fixture) {
+  JoinAndStop();
+  const WaiterPtr it = Make("r", 40000);
+  BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
+  clock.Advance(milliseconds(159));
+  RunSome();
+  BOOST_TEST(it->answers() == 0);
+  clock.Advance(milliseconds(1));
+  BOOST_TEST(Answered(*it));
+  BOOST_TEST(it->refused == 1);
+  BOOST_TEST(!it->was_exhausted);
+  clock.Advance(seconds(1));
+  RunSome();
+  BOOST_TEST(it->answers() == 1);
+}
+
+// First for half of what they don't use, with something to spare, then for all.
+BOOST_FIXTURE_TEST_CASE(PeersAreAskedTwiceForOneThatWaits, Fixture) {
+  JoinAndStop();
+  const Tokens allowance = Allowance();
+  const WaiterPtr it = Make("r", 20000);
+  BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
+  clock.Advance(milliseconds(24));
+  RunSome();
+  BOOST_TEST(broadcasts.size() == 0U);
+  clock.Advance(milliseconds(1));
+  BOOST_REQUIRE(RunUntil([&] { return broadcasts.size() == 1U; }));
+  clock.Advance(milliseconds(44));
+  RunSome();
+  BOOST_TEST(broadcasts.size() == 1U);
+  clock.Advance(milliseconds(1));
+  BOOST_REQUIRE(RunUntil([&] { return broadcasts.size() == 2U; }));
+  clock.Advance(milliseconds(89));
+  RunSome();
+  BOOST_REQUIRE(broadcasts.size() == 2U);
+  for (const Sent& sent : broadcasts) {
+    BOOST_TEST((sent.message.kind == PeerMessageKind::kAsk));
+    BOOST_TEST(sent.message.from.value == kSelf.value);
+    BOOST_TEST(sent.message.customer.value == kCustomer.value);
+  }
+  BOOST_TEST(!broadcasts[0].message.all);
+  BOOST_TEST(broadcasts[0].message.amount == 20000 + 30000 - allowance);
+  BOOST_TEST(broadcasts[1].message.all);
+  BOOST_TEST(broadcasts[1].message.amount == 20000 - allowance);
+}
+
+// Asked for beyond what waits: what was held in the last second, if that is
+// more than 30,000 tokens.
+BOOST_FIXTURE_TEST_CASE(PeersAreAskedForWhatWasHeldLately, Fixture) {
+  JoinAndStop();
+  const Tokens allowance = Allowance();
+  const WaiterPtr it = Make("r", 60000);
+  BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
+  clock.Advance(milliseconds(25));
+  BOOST_REQUIRE(RunUntil([&] { return !broadcasts.empty(); }));
+  const Tokens spare = broadcasts[0].message.amount - 60000 + allowance;
+  BOOST_TEST(spare > 58000);
+  BOOST_TEST(spare < 60000);
+}
+
+BOOST_FIXTURE_TEST_CASE(PeersAreAskedAtOnceWhileTheStoreIsAway, Fixture) {
+  JoinAndStop(StoreMode::kAway);
+  // A first cost makes a write due, whose end shows that the store is away.
+  const WaiterPtr first = Make("first", 1000);
+  BOOST_TEST((budgets.Hold(first) == PrepaidVerdict::kHeld));
+  budgets.Settle(*first, 1000);
+  clock.Advance(PrepaidPolicy().report_every);
+  BOOST_TEST(RunUntil([&] { return !reachable.empty(); }));
+  const std::vector<bool> lost = {false};
+  BOOST_TEST(reachable == lost);
+  const WaiterPtr it = Make("r", 60000);
+  BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
+  BOOST_TEST(RunUntil([&] { return !broadcasts.empty(); }));
+}
+
+BOOST_FIXTURE_TEST_CASE(AForgottenRequestIsNotAnswered, Fixture) {
+  JoinAndStop();
+  const WaiterPtr it = Make("r", 40000);
+  const WaiterPtr next = Make("next", 1);
+  BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
+  BOOST_TEST((budgets.Hold(next) == PrepaidVerdict::kShort));
+  const Tokens before = Allowance();
+  budgets.Forget(it);
+  budgets.OnPeer(Message(PeerMessageKind::kMove, 1));
+  BOOST_TEST(Answered(*next));
+  BOOST_TEST(next->held == 1);
+  clock.Advance(seconds(1));
+  RunSome();
+  BOOST_TEST(it->answers() == 0);
+  // The peer's token went to the other.
+  BOOST_TEST(Allowance() == before);
+}
+
+// A hold that ends lets the next one in.
+BOOST_FIXTURE_TEST_CASE(ASettledHoldServesWhoWaits, Fixture) {
+  JoinAndStop();
+  const WaiterPtr first = Make("first", Allowance());
+  BOOST_TEST((budgets.Hold(first) == PrepaidVerdict::kHeld));
+  const WaiterPtr next = Make("next", 500);
+  BOOST_TEST((budgets.Hold(next) == PrepaidVerdict::kShort));
+  budgets.Settle(*first, 0);
+  BOOST_TEST(Answered(*next));
+  BOOST_TEST(next->held == 1);
+}
+
+// --- The store ---------------------------------------------------------------
+
+BOOST_FIXTURE_TEST_CASE(AWriteWithoutAnAnswerGrantsNothing, Fixture) {
+  JoinAndStop(StoreMode::kLosesWrites);
+  const Tokens before = Allowance();
+  const std::uint64_t writes = store.writes;
+  const WaiterPtr it = Make("r", 40000);
+  BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
+  BOOST_TEST(RunUntil([&] { return !reachable.empty(); }));
+  BOOST_TEST(store.writes > writes);
+  BOOST_TEST(Allowance() == before);
+  clock.Advance(milliseconds(160));
+  BOOST_TEST(Answered(*it));
+  BOOST_TEST(it->refused == 1);
+  BOOST_TEST(it->held == 0);
+}
+
+// Other routers change the record all the time; a read for each would double
+// the calls.
+BOOST_FIXTURE_TEST_CASE(ARejectedWriteUsesTheRecordThatItWasShown, Fixture) {
+  JoinAndStop(StoreMode::kNormal);
+  PrepaidRecord record = Record();
+  record.members.insert(Incarnation("vm3@1"));
+  store.Put(kRecordKey, EncodePrepaid(record));
+  const std::uint64_t reads = store.reads;
+  const WaiterPtr it = Make("r", 40000);
+  BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
+  BOOST_TEST(Answered(*it));
+  BOOST_TEST(it->held == 1);
+  BOOST_TEST(store.reads == reads);
+  BOOST_TEST(Record().members.size() == 3U);
+}
+
+// Someone else's write of this router's account shows nothing that can be
+// trusted without a read.
+BOOST_FIXTURE_TEST_CASE(AnAccountThatHasChangedIsRead, Fixture) {
+  JoinAndStop(StoreMode::kNormal);
+  const std::string key = "quaytrack/spend/" + kSelf.value;
+  store.Put(key, store.items.at(key).value);
+  const std::uint64_t reads = store.reads;
+  const WaiterPtr it = Make("r", 40000);
+  BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
+  BOOST_TEST(Answered(*it));
+  BOOST_TEST(it->held == 1);
+  BOOST_TEST(store.reads > reads);
+}
+
+BOOST_FIXTURE_TEST_CASE(ARecordThatCantBeReadIsNotReplaced, Fixture) {
+  store.Put(kRecordKey, "not a record");
+  Configure();
+  budgets.Start();
+  budgets.TakePartIfHolder();
+  RunSome();
+  BOOST_TEST(store.reads > 0U);
+  BOOST_TEST(store.writes == 0U);
+  BOOST_TEST(store.items.at(kRecordKey).value == "not a record");
+  BOOST_TEST(Allowance() == 0);
+}
+
+BOOST_FIXTURE_TEST_CASE(ALeavingRouterReturnsItsGrant, Fixture) {
+  Join();
+  const WaiterPtr it = Make("r", 1000);
+  BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kHeld));
+  budgets.Settle(*it, 400);
+  budgets.StartLeaving();
+  BOOST_TEST(RunUntil([&] { return budgets.ledger().HasLeft(); }));
+  PrepaidRecord record = Record();
+  BOOST_TEST(!record.members.contains(kSelf));
+  BOOST_TEST(record.customers[kCustomer].settled == 400);
+  BOOST_TEST(record.customers[kCustomer].Outstanding() == 0);
+}
+
+// --- Peers -------------------------------------------------------------------
+
+BOOST_FIXTURE_TEST_CASE(AnAskIsGivenOnceAndTakenOff, Fixture) {
+  JoinAndStop();
+  const Tokens before = Allowance();
+  PeerMessage ask = Message(PeerMessageKind::kAsk, 1000);
+  ask.all = true;
+  budgets.OnPeer(ask);
+  const auto moves = ToldOf(PeerMessageKind::kMove);
+  BOOST_REQUIRE(moves.size() == 1U);
+  BOOST_TEST(moves[0].to.value == kPeer.value);
+  BOOST_TEST(moves[0].message.amount == 1000);
+  BOOST_TEST(Allowance() == before - 1000);
+  // What is told is the sum of all that was given.
+  budgets.OnPeer(ask);
+  BOOST_TEST(ToldOf(PeerMessageKind::kMove).back().message.amount == 2000);
+  BOOST_TEST(Allowance() == before - 2000);
+}
+
+BOOST_FIXTURE_TEST_CASE(AnAskForSomeLeavesHalf, Fixture) {
+  JoinAndStop();
+  const Tokens before = Allowance();
+  budgets.OnPeer(Message(PeerMessageKind::kAsk, kLimit));
+  const auto moves = ToldOf(PeerMessageKind::kMove);
+  BOOST_REQUIRE(moves.size() == 1U);
+  BOOST_TEST(moves[0].message.amount == before / 2);
+}
+
+BOOST_FIXTURE_TEST_CASE(AMoveThatComesTwiceCountsOnce, Fixture) {
+  JoinAndStop();
+  const Tokens before = Allowance();
+  budgets.OnPeer(Message(PeerMessageKind::kMove, 700));
+  budgets.OnPeer(Message(PeerMessageKind::kMove, 700));
+  BOOST_TEST(Allowance() == before + 700);
+}
+
+BOOST_FIXTURE_TEST_CASE(APeersHoldIsKeptUntilItsCostIsTold, Fixture) {
+  JoinAndStop();
+  const Tokens before = Allowance();
+  budgets.OnPeer(Message(PeerMessageKind::kHold, 1000, "r"));
+  budgets.OnPeer(Message(PeerMessageKind::kHold, 1000, "r"));
+  const auto answers = ToldOf(PeerMessageKind::kHoldAnswer);
+  BOOST_REQUIRE(answers.size() == 1U);
+  BOOST_TEST((answers[0].message.answer == HoldAnswer::kHeld));
+  BOOST_TEST(answers[0].message.from.value == kSelf.value);
+  BOOST_TEST(Allowance() == before - 1000);
+  budgets.OnPeer(Message(PeerMessageKind::kSettle, 300, "r"));
+  budgets.OnPeer(Message(PeerMessageKind::kSettle, 300, "r"));
+  BOOST_TEST(ToldOf(PeerMessageKind::kSettled).size() == 2U);
+  BOOST_TEST(Allowance() == before - 300);
+}
+
+BOOST_FIXTURE_TEST_CASE(APeersHoldWaitsLikeAnyOther, Fixture) {
+  JoinAndStop();
+  budgets.OnPeer(Message(PeerMessageKind::kHold, 40000, "r"));
+  BOOST_TEST(ToldOf(PeerMessageKind::kHoldAnswer).empty());
+  clock.Advance(milliseconds(160));
+  const auto answered = [&] {
+    return !ToldOf(PeerMessageKind::kHoldAnswer).empty();
+  };
+  BOOST_REQUIRE(RunUntil(answered));
+  const auto answers = ToldOf(PeerMessageKind::kHoldAnswer);
+  BOOST_TEST((answers[0].message.answer == HoldAnswer::kShort));
+}
+
+BOOST_FIXTURE_TEST_CASE(AStoppingRouterSendsAskersToOtherHolders, Fixture) {
+  Join();
+  budgets.StopServing();
+  budgets.OnPeer(Message(PeerMessageKind::kHold, 1000, "r"));
+  const auto answers = ToldOf(PeerMessageKind::kHoldAnswer);
+  BOOST_REQUIRE(answers.size() == 1U);
+  BOOST_TEST((answers[0].message.answer == HoldAnswer::kElsewhere));
+}
+
+// A router that keeps no grants; `holder` does.
+struct AskerFixture : Fixture {
+  AskerFixture() : Fixture(OneHolder()) {
+    std::vector<FleetMember> members;
+    for (const char* it : {"vm2", "vm3", "vm4", "vm5"}) {
+      members.push_back({VmName(it), HallName("a"), "h:2"});
+    }
+    fleet.Put(members);
+    BOOST_REQUIRE(!fleet.IsHolder(VmName("vm1")));
+    holder = Incarnation(fleet.HoldersFor(kCustomer).at(0).value + "@1");
+    Configure();
+    budgets.Start();
+  }
+  static FleetOptions OneHolder() {
+    FleetOptions out;
+    out.small_fleet = 0;
+    out.holders_per_hall = 1;
+    return out;
+  }
+  PeerMessage FromHolder(PeerMessageKind kind, HoldAnswer answer) const {
+    PeerMessage out = Message(kind, 0, "r");
+    out.from = holder;
+    out.answer = answer;
+    return out;
+  }
+
+  Incarnation holder;
+};
+
+BOOST_FIXTURE_TEST_CASE(WithoutAGrantAHolderIsAskedAndTold, AskerFixture) {
+  const WaiterPtr it = Make("r", 1000);
+  BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
+  const auto asks = ToldOf(PeerMessageKind::kHold);
+  BOOST_REQUIRE(asks.size() == 1U);
+  BOOST_TEST(asks[0].to.value == holder.value);
+  BOOST_TEST(asks[0].message.amount == 1000);
+  budgets.OnPeer(FromHolder(PeerMessageKind::kHoldAnswer, HoldAnswer::kHeld));
+  BOOST_TEST(Answered(*it));
+  BOOST_TEST(it->held == 1);
+  budgets.Settle(*it, 400);
+  const auto costs = ToldOf(PeerMessageKind::kSettle);
+  BOOST_REQUIRE(costs.size() == 1U);
+  BOOST_TEST(costs[0].message.amount == 400);
+  // Until the holder acknowledges it.
+  BOOST_TEST(
+      RunUntil([&] { return ToldOf(PeerMessageKind::kSettle).size() > 1; }));
+  BOOST_TEST(store.writes == 0U);
+}
+
+BOOST_FIXTURE_TEST_CASE(AHoldersNoIsPassedOn, AskerFixture) {
+  const WaiterPtr it = Make("r", 1000);
+  BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
+  budgets.OnPeer(
+      FromHolder(PeerMessageKind::kHoldAnswer, HoldAnswer::kExhausted));
+  BOOST_TEST(Answered(*it));
+  BOOST_TEST(it->refused == 1);
+  BOOST_TEST(it->was_exhausted);
+}
+
+BOOST_FIXTURE_TEST_CASE(AnAskWithoutAnAnswerEnds, AskerFixture) {
+  clock.Stop();
+  const WaiterPtr it = Make("r", 1000);
+  BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
+  clock.Advance(milliseconds(199));
+  RunSome();
+  BOOST_TEST(it->answers() == 0);
+  clock.Advance(milliseconds(1));
+  BOOST_TEST(Answered(*it));
+  BOOST_TEST(it->refused == 1);
+  BOOST_TEST(!it->was_exhausted);
+  // The holder may have held it, and is told that nothing ran.
+  const auto costs = ToldOf(PeerMessageKind::kSettle);
+  BOOST_REQUIRE(!costs.empty());
+  BOOST_TEST(costs[0].message.amount == 0);
+}
+
+BOOST_FIXTURE_TEST_CASE(AForgottenAskIsTakenBack, AskerFixture) {
+  const WaiterPtr it = Make("r", 1000);
+  BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
+  budgets.Forget(it);
+  BOOST_TEST(ToldOf(PeerMessageKind::kSettle).size() == 1U);
+  budgets.OnPeer(FromHolder(PeerMessageKind::kHoldAnswer, HoldAnswer::kHeld));
+  RunSome();
+  BOOST_TEST(it->answers() == 0);
+}
+
+}  // namespace
+}  // namespace quaytrack
