--- a/relay/budget_driver.h
+++ b/relay/budget_driver.h
@@ -1,26 +1,49 @@
-// Drives the prepaid ledger with the store and the peers, and keeps the
-// requests that wait for a larger part of a budget.
+// BudgetDriver: the prepaid budgets of one router, for the requests that it
+// relays and for peers that keep no grants.
 //
-// In a large fleet most routers take no part in the ledger; they ask those that
-// do, the holders, for each request (fleet/fleet.h).
+//   switch (budgets.Hold(waiter)) {
+//     case PrepaidVerdict::kHeld:        // send it
+//     case PrepaidVerdict::kExhausted:   // 402: the budget can't ever hold it
+//     case PrepaidVerdict::kShort:       // `OnHeld` or `OnHoldRefused` follows
+//   }
+//   budgets.Forget(waiter);              // while it waits: no longer wanted
+//   budgets.Settle(*waiter, cost);       // held: what was handed out in the
+//   end
+//
+// Every hold that was granted is settled exactly once, with 0 if nothing ran;
+// until then its worst case can't be spent by anybody else.
+//
+// This class only joins the parts and passes on what concerns them:
+//   prepaid/prepaid_ledger.h   what this router may spend of each budget
+//   relay/prepaid_store.h      the ledger's reads and writes at the store
+//   relay/hold_queue.h         requests that wait for a larger grant
+//   relay/grant_transfers.h    unused grant from and to peers
+//   relay/remote_holds.h       holds at other routers, if this one keeps no
+//                              grants: in a large fleet most don't, and ask
+//                              those that do, the holders (fleet/fleet.h)
+//   relay/served_holds.h       the same from the holder's side
+// How long a request waits stands in relay/hold_patience.h.
+//
+// Units: tokens. Errors: a store or peers that don't answer make requests wait
+// and then be refused with `exhausted` false; nothing is spent on a guess.
 
 #ifndef QUAYTRACK_RELAY_BUDGET_DRIVER_H_
 #define QUAYTRACK_RELAY_BUDGET_DRIVER_H_
 
-#include <deque>
 #include <functional>
-#include <map>
 #include <memory>
-#include <random>
+#include <utility>
 
-#include "base/rate.h"
 #include "config/service_map.h"
 #include "fleet/fleet.h"
 #include "kv/store.h"
 #include "net/loop.h"
 #include "prepaid/prepaid_ledger.h"
+#include "relay/grant_transfers.h"
+#include "relay/hold_queue.h"
 #include "relay/hold_waiter.h"
 #include "relay/peer_messages.h"
+#include "relay/prepaid_store.h"
 #include "relay/remote_holds.h"
 #include "relay/served_holds.h"
 
@@ -28,8 +51,6 @@
 
 class BudgetDriver {
  public:
-  using HoldWaiterPtr = std::shared_ptr<HoldWaiter>;
-
   struct Handlers {
     // Tells all linked peers.
     std::function<void(const PeerMessage&)> broadcast;
@@ -45,95 +66,57 @@
                const FleetDirectory& fleet,
                const PrepaidLedger::Identity& identity, PrepaidPolicy policy);
 
+  // Before `Start`.
   void SetHandlers(Handlers handlers) { on_ = std::move(handlers); }
   void Start();
   void SetConfig(const ServiceMap& map);
 
-  // The list of routers may make this one a holder.
+  // The list of routers may have made this one a holder.
   void TakePartIfHolder();
 
   // kShort: the request waits; `OnHeld` or `OnHoldRefused` follows.
   PrepaidVerdict Hold(const HoldWaiterPtr& request);
-  // Takes a waiting request back.
+  // The request no longer waits; it isn't answered.
   void Forget(const HoldWaiterPtr& request);
+  // `cost`: the tokens that were handed out.
   void Settle(const HoldWaiter& request, Tokens cost);
 
   void OnPeer(const PeerMessage& message);
   void OnPeerLost(const Incarnation& peer);
 
-  // Other routers are told to ask other holders.
+  // Peers that ask for holds are sent on to other holders.
   void StopServing() { served_.Stop(); }
-  // Returns the unspent part to the store.
+  // Returns the unspent grants to the store; `ledger().HasLeft()` follows.
   void StartLeaving();
   const PrepaidLedger& ledger() const { return ledger_; }
 
  private:
-  struct Waiting {
-    HoldWaiterPtr waiter;
-    Instant since{};
-    // How often peers were asked for it.
-    int asked = 0;
-  };
-  using WaitingList = std::deque<Waiting>;
-
-  // The same for a part that this router keeps.
-  PrepaidVerdict HoldHere(const HoldWaiterPtr& waiter);
-  void ForgetHere(const HoldWaiterPtr& waiter);
-  void SettleHere(const CustomerName& customer, Tokens held, Tokens cost);
-  void HoldElsewhere(const HoldWaiterPtr& request);
-  void HoldForPeer(const HoldWaiterPtr& waiter);
-  DecayingRate& DemandFor(const CustomerName& customer);
-  static void Answer(HoldWaiter& waiter, PrepaidVerdict verdict);
-  void AnswerLater(const HoldWaiterPtr& waiter, PrepaidVerdict verdict);
+  PrepaidStore::Handlers StoreHandlers();
+  HoldQueue::Handlers QueueHandlers();
+  GrantTransfers::Handlers TransferHandlers();
   RemoteHolds::Handlers RemoteHandlers();
   ServedHolds::Handlers ServedHandlers();
+  PrepaidVerdict HoldFromGrant(const HoldWaiterPtr& waiter);
+  void AskHolders(const HoldWaiterPtr& waiter);
+  void SettleInGrant(const CustomerName& customer, Tokens held, Tokens cost);
+  void AnswerLater(const HoldWaiterPtr& waiter, PrepaidVerdict verdict);
   void Tell(const Incarnation& peer, PeerMessage message);
-  void OnAsked(const PeerMessage& message);
-  void StartTicking();
-  void Tick();
-  void Pump();
-  StoreWrite ToStore(const PrepaidWrite& write) const;
-  void ReadSpends();
-  void OnSpends(const StoreSnapshot& snapshot);
-  void OnRecord(const StoreSnapshot& snapshot);
-  bool ReadRecord(const std::vector<StoreItem>& items);
-  void OnRejected(const std::vector<StoreItem>& present);
-  static std::string KeyOf(const Incarnation& it);
-  void OnWritten(const StoreWritten& written);
-  void PumpSoon();
-  void SetReachable(bool reachable);
-  void ServeWaiting();
-  void ServeList(const CustomerName& customer, WaitingList& list);
-  // Whether any still wait.
-  bool TickWaiting();
-  void AskPeers(const CustomerName& customer, const WaitingList& list,
-                bool all);
-  void LogClosings(const std::vector<PrepaidClosing>& closings) const;
-  void LogWritten(std::int64_t revision) const;
-  void LogShort(const CustomerName& customer, Tokens needed) const;
-  void UpdateWaiting(const CustomerName& customer, const WaitingList& list);
+  void WatchWaits();
+  void CheckWaits();
 
   Loop& loop_;
   const Clock& clock_;
-  KvStore& store_;
   const FleetDirectory& fleet_;
   Incarnation self_;
+  Handlers on_;
   PrepaidLedger ledger_;
+  PrepaidStore store_;
+  HoldQueue queue_;
+  GrantTransfers transfers_;
   RemoteHolds remote_;
   ServedHolds served_;
-  Handlers on_;
-  std::map<CustomerName, WaitingList> waiting_;
-  // Tokens that were held of late.
-  std::map<CustomerName, DecayingRate> demand_;
-  KvStore::CallPtr call_;
-  // The write in flight, and what a read under way has found.
-  PrepaidWrite sent_;
-  PrepaidState read_;
-  std::unique_ptr<Timer> pump_timer_;
-  std::unique_ptr<Timer> soon_timer_;
-  std::unique_ptr<Timer> tick_timer_;
-  std::minstd_rand random_{std::random_device{}()};
-  bool store_reachable_ = true;
+  // Runs while anything waits.
+  std::unique_ptr<Timer> wait_timer_;
 };
 
 }  // namespace quaytrack
--- /dev/null
+++ b/relay/hold_patience.h
@@ -0,0 +1,55 @@
+// HoldPatience: how long a request waits for tokens of its customer's budget.
+// This is the only place that says so.
+//
+// Inputs: when the request began to wait, whether this router keeps a grant of
+// the budget (fleet/fleet.h), and whether the store answers.
+//
+// A router that keeps a grant, if the grant is too small (relay/hold_queue.h):
+//   at once                 asks the store for a larger grant
+//   after `ask_some_after`  asks its peers for half of what each doesn't use;
+//                           at once if the store is known to be away
+//   after `ask_all_after`   asks its peers for all of it
+//   after `give_up_after`   refuses the request with 503 and a Retry-After
+//
+// A router that keeps none (relay/remote_holds.h):
+//   at once                 asks the first holder
+//   after `holder_answer`   asks the next holder; at once if the link to the
+//                           holder breaks or the holder sends the asker on
+//   after `all_holders`     refuses the request with 503 and a Retry-After
+//
+// A request that the budget can't ever hold is refused at once, with 402. The
+// request's own deadline ends either wait earlier (RelayedRequest::OnDeadline),
+// and so does a caller that leaves.
+//
+// Reason: the store's answer takes some milliseconds, so that peers are asked
+// only when it is slow or away, and then gently first, since what one router
+// takes another may need next. A refusal soon after that leaves the caller the
+// rest of its own time to come back, here or at another router.
+//
+// Units: milliseconds. Waits are looked at every `check_every`, so each ends up
+// to that much late.
+
+#ifndef QUAYTRACK_RELAY_HOLD_PATIENCE_H_
+#define QUAYTRACK_RELAY_HOLD_PATIENCE_H_
+
+#include <chrono>
+
+#include "base/clock.h"
+
+namespace quaytrack {
+
+struct HoldPatience {
+  // The first four are of commit df506c1, the next two of e7705ae. None of them
+  // was measured against another value.
+  Duration check_every = std::chrono::milliseconds(10);
+  Duration ask_some_after = std::chrono::milliseconds(25);
+  Duration ask_all_after = std::chrono::milliseconds(70);
+  Duration give_up_after = std::chrono::milliseconds(160);
+  // Longer than `give_up_after`, since the holder may itself wait that long.
+  Duration holder_answer = std::chrono::milliseconds(200);
+  Duration all_holders = std::chrono::milliseconds(300);
+};
+
+}  // namespace quaytrack
+
+#endif  // QUAYTRACK_RELAY_HOLD_PATIENCE_H_
--- /dev/null
+++ b/relay/prepaid_store.h
@@ -0,0 +1,89 @@
+// PrepaidStore: the cycle between the prepaid ledger and the store.
+//
+//   PrepaidStore store(loop, clock, kv, self, ledger, {changed, reachable});
+//   store.Start();          // runs the cycle every `kCycleEvery`
+//   store.RunCycle();       // something is due now
+//   store.RunCycleSoon();   // the same, a few milliseconds later
+//
+// One cycle does what the ledger says is due: it reads what the store has, or
+// writes this router's spend account, and the record with it if that is to
+// change. At most one call is under way. How each call ended goes back to the
+// ledger, which alone decides what that means for what may be spent; above all,
+// a write without an answer is neither done nor undone
+// (prepaid/prepaid_ledger.h).
+//
+// Owns the store's two kinds of keys:
+//   quaytrack/prepaid               the record, of all routers
+//   quaytrack/spend/<incarnation>   the spend account of one router
+//
+// Errors. A value that can't be decoded is logged (record_refused) and is never
+// written over: without the record there is no grant. A lost and a regained
+// store are logged (kv_lost, kv_back) and reported.
+
+#ifndef QUAYTRACK_RELAY_PREPAID_STORE_H_
+#define QUAYTRACK_RELAY_PREPAID_STORE_H_
+
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <random>
+#include <string>
+#include <vector>
+
+#include "base/clock.h"
+#include "base/ids.h"
+#include "kv/store.h"
+#include "net/loop.h"
+#include "prepaid/prepaid_ledger.h"
+
+namespace quaytrack {
+
+class PrepaidStore {
+ public:
+  struct Handlers {
+    // The ledger has learned something, and may allow more.
+    std::function<void()> ledger_changed;
+    // The store was lost (false) or is back (true).
+    std::function<void(bool)> reachable;
+  };
+
+  PrepaidStore(Loop& loop, const Clock& clock, KvStore& store, Incarnation self,
+               PrepaidLedger& ledger, Handlers handlers);
+
+  void Start();
+  void RunCycle();
+  void RunCycleSoon();
+  bool reachable() const { return reachable_; }
+
+ private:
+  void ReadSpends();
+  void OnSpends(const StoreSnapshot& snapshot);
+  void OnRecord(const StoreSnapshot& snapshot);
+  bool DecodeRecord(const std::vector<StoreItem>& items);
+  StoreWrite ToStore(const PrepaidWrite& write) const;
+  void OnWritten(const StoreWritten& written);
+  void OnRejected(const std::vector<StoreItem>& present);
+  void SetReachable(bool reachable);
+  void LogClosings() const;
+  void LogWritten(std::int64_t revision) const;
+
+  Loop& loop_;
+  const Clock& clock_;
+  KvStore& store_;
+  Incarnation self_;
+  PrepaidLedger& ledger_;
+  Handlers on_;
+  KvStore::CallPtr call_;
+  // The write under way.
+  PrepaidWrite write_;
+  // What the read under way has found so far.
+  PrepaidState read_;
+  std::unique_ptr<Timer> cycle_timer_;
+  std::unique_ptr<Timer> soon_timer_;
+  std::minstd_rand random_{std::random_device{}()};
+  bool reachable_ = true;
+};
+
+}  // namespace quaytrack
+
+#endif  // QUAYTRACK_RELAY_PREPAID_STORE_H_
