--- a/relay/budget_driver.cc
+++ b/relay/budget_driver.cc
@@ -140,7 +140,7 @@
   out.done = [this, waiter](PrepaidVerdict verdict) {
     AnswerLater(waiter, verdict);
   };
-  remote_.Ask(clock_.Now(), std::move(out));
+  remote_.AskFor(clock_.Now(), std::move(out));
   WatchWaits();
 }
 
@@ -177,7 +177,7 @@
 }
 
 void BudgetDriver::CheckWaits() {
-  remote_.Tick(clock_.Now());
+  remote_.CheckTimes(clock_.Now());
   const bool waiting = queue_.Expire(clock_.Now(), store_.reachable());
   if (!waiting && remote_.Idle()) wait_timer_.reset();
 }
@@ -200,7 +200,7 @@
     case PeerMessageKind::kAsk:
       return transfers_.OnWanted(clock_.Now(), message);
     case PeerMessageKind::kHold:
-      return served_.OnHold(message);
+      return served_.OnHoldWanted(message);
     case PeerMessageKind::kSettle:
       return served_.OnSettle(message);
     case PeerMessageKind::kHoldAnswer:
--- a/relay/remote_holds.cc
+++ b/relay/remote_holds.cc
@@ -20,135 +20,141 @@
 
 }  // namespace
 
-void RemoteHolds::Ask(Instant now, Request request) {
+// --- Asks --------------------------------------------------------------------
+
+void RemoteHolds::AskFor(Instant now, Request request) {
   const RequestId id = request.id;
-  Asked& asked = asked_[id];
-  asked.request = std::move(request);
-  asked.begun = now;
-  AskNext(now, asked);
+  PendingAsk& ask = pending_[id];
+  ask.request = std::move(request);
+  ask.begun = now;
+  AskNextHolder(now, ask);
 }
 
-// Without a further holder, the request is refused at the next `Tick`.
-void RemoteHolds::AskNext(Instant now, Asked& asked) {
-  asked.holder = {};
-  asked.asked_at = now;
-  while (asked.next < asked.request.holders.size()) {
-    asked.holder = on_.linked(asked.request.holders[asked.next++]);
-    if (!asked.holder.empty()) break;
+// Without a further holder, the request is refused at the next `CheckTimes`.
+void RemoteHolds::AskNextHolder(Instant now, PendingAsk& ask) {
+  ask.holder = {};
+  ask.asked_at = now;
+  while (ask.next < ask.request.holders.size()) {
+    ask.holder = on_.linked(ask.request.holders[ask.next++]);
+    if (!ask.holder.empty()) break;
   }
-  if (asked.holder.empty()) return;
+  if (ask.holder.empty()) return;
   PeerMessage out;
   out.kind = PeerMessageKind::kHold;
-  out.request = asked.request.id;
-  out.customer = asked.request.customer;
-  out.amount = asked.request.amount;
-  on_.tell(asked.holder, out);
+  out.request = ask.request.id;
+  out.customer = ask.request.customer;
+  out.amount = ask.request.amount;
+  on_.tell(ask.holder, out);
 }
 
 // The holder may have granted the hold, or may still.
-void RemoteHolds::Withdraw(Instant now, const Asked& asked) {
-  if (asked.holder.empty()) return;
-  TellFirst(now, {asked.request.id, asked.holder}, 0);
+void RemoteHolds::ReleaseAtHolder(Instant now, const PendingAsk& ask) {
+  if (ask.holder.empty()) return;
+  SendCost(now, {ask.request.id, ask.holder}, 0);
 }
 
-void RemoteHolds::End(AskedMap::iterator it, PrepaidVerdict verdict) {
+void RemoteHolds::Finish(PendingMap::iterator it, PrepaidVerdict verdict) {
   const auto done = std::move(it->second.request.done);
-  asked_.erase(it);
+  pending_.erase(it);
   done(verdict);
 }
 
 void RemoteHolds::Forget(Instant now, const RequestId& id) {
-  const auto it = asked_.find(id);
-  if (it == asked_.end()) return;
-  Withdraw(now, it->second);
-  asked_.erase(it);
-}
-
-void RemoteHolds::Settle(Instant now, const RequestId& id, Tokens cost) {
-  const auto it = held_.find(id);
-  if (it == held_.end()) return;
-  const Key key{id, it->second};
-  held_.erase(it);
-  TellFirst(now, key, cost);
-}
-
-void RemoteHolds::TellFirst(Instant now, const Key& key, Tokens cost) {
-  Untold& untold = untold_[key];
-  untold.cost = cost;
-  untold.begun = now;
-  Tell(now, key, untold);
-}
-
-void RemoteHolds::Tell(Instant now, const Key& key, Untold& untold) {
-  untold.told_at = now;
-  PeerMessage out;
-  out.kind = PeerMessageKind::kSettle;
-  out.request = key.request;
-  out.amount = untold.cost;
-  on_.tell(key.holder, out);
+  const auto it = pending_.find(id);
+  if (it == pending_.end()) return;
+  ReleaseAtHolder(now, it->second);
+  pending_.erase(it);
 }
 
 void RemoteHolds::OnAnswer(Instant now, const PeerMessage& message) {
-  const auto it = asked_.find(message.request);
+  const auto it = pending_.find(message.request);
   // An answer of one that is no longer asked: it has been told so.
-  if (it == asked_.end() || it->second.holder != message.from) return;
+  if (it == pending_.end() || it->second.holder != message.from) return;
   if (message.answer == HoldAnswer::kElsewhere) {
-    return AskNext(now, it->second);
+    return AskNextHolder(now, it->second);
   }
   if (message.answer == HoldAnswer::kHeld) {
     held_[message.request] = message.from;
   }
-  End(it, VerdictOf(message.answer));
-}
-
-void RemoteHolds::OnAcknowledged(const PeerMessage& message) {
-  untold_.erase({message.request, message.from});
+  Finish(it, VerdictOf(message.answer));
 }
 
 void RemoteHolds::OnPeerLost(Instant now, const Incarnation& holder) {
-  for (auto& [id, asked] : asked_) {
-    if (asked.holder != holder) continue;
-    Withdraw(now, asked);
-    AskNext(now, asked);
+  for (auto& [id, ask] : pending_) {
+    if (ask.holder != holder) continue;
+    ReleaseAtHolder(now, ask);
+    AskNextHolder(now, ask);
   }
 }
 
-void RemoteHolds::Tick(Instant now) {
-  for (auto it = asked_.begin(); it != asked_.end();) {
-    Asked& asked = it->second;
+void RemoteHolds::CheckTimes(Instant now) {
+  const HoldPatience& patience = options_.patience;
+  for (auto it = pending_.begin(); it != pending_.end();) {
+    PendingAsk& ask = it->second;
     const auto at = it++;
-    const bool unanswered = now - asked.asked_at >= options_.holder_patience;
-    if (unanswered && !asked.holder.empty()) {
+    const bool unanswered = now - ask.asked_at >= patience.holder_answer;
+    if (unanswered && !ask.holder.empty()) {
       LogEvent(Event::kHoldUnanswered,
-               {{"request", at->first.value}, {"holder", asked.holder.value}});
-      Withdraw(now, asked);
-      AskNext(now, asked);
+               {{"request", at->first.value}, {"holder", ask.holder.value}});
+      ReleaseAtHolder(now, ask);
+      AskNextHolder(now, ask);
     }
-    const bool over = now - asked.begun >= options_.patience;
-    if (!over && !asked.holder.empty()) continue;
-    Withdraw(now, asked);
-    End(at, PrepaidVerdict::kShort);
+    const bool over = now - ask.begun >= patience.all_holders;
+    if (!over && !ask.holder.empty()) continue;
+    ReleaseAtHolder(now, ask);
+    Finish(at, PrepaidVerdict::kShort);
   }
-  TellAll(now);
+  ResendCosts(now);
+}
+
+// --- Costs -------------------------------------------------------------------
+
+void RemoteHolds::Settle(Instant now, const RequestId& id, Tokens cost) {
+  const auto it = held_.find(id);
+  if (it == held_.end()) return;
+  const HoldKey key{id, it->second};
+  held_.erase(it);
+  SendCost(now, key, cost);
+}
+
+void RemoteHolds::SendCost(Instant now, const HoldKey& key, Tokens cost) {
+  UnacknowledgedCost& it = unacknowledged_[key];
+  it.cost = cost;
+  it.begun = now;
+  SendAgain(now, key, it);
+}
+
+void RemoteHolds::SendAgain(Instant now, const HoldKey& key,
+                            UnacknowledgedCost& it) {
+  it.sent_at = now;
+  PeerMessage out;
+  out.kind = PeerMessageKind::kSettle;
+  out.request = key.request;
+  out.amount = it.cost;
+  on_.tell(key.holder, out);
+}
+
+void RemoteHolds::OnAcknowledged(const PeerMessage& message) {
+  unacknowledged_.erase({message.request, message.from});
 }
 
-void RemoteHolds::TellAll(Instant now) {
-  for (auto it = untold_.begin(); it != untold_.end();) {
+void RemoteHolds::ResendCosts(Instant now) {
+  for (auto it = unacknowledged_.begin(); it != unacknowledged_.end();) {
     const auto at = it++;
-    if (IsLost(now, at->first, at->second)) {
-      untold_.erase(at);
-    } else if (now - at->second.told_at >= options_.tell_again) {
-      Tell(now, at->first, at->second);
+    if (IsPointless(now, at->first, at->second)) {
+      unacknowledged_.erase(at);
+    } else if (now - at->second.sent_at >= options_.resend_every) {
+      SendAgain(now, at->first, at->second);
     }
   }
 }
 
 // A later incarnation proves that the holder has died.
-bool RemoteHolds::IsLost(Instant now, const Key& key,
-                         const Untold& untold) const {
+bool RemoteHolds::IsPointless(Instant now, const HoldKey& key,
+                              const UnacknowledgedCost& it) const {
   const Incarnation linked = on_.linked(VmOf(key.holder));
   const bool dead = !linked.empty() && linked != key.holder;
-  return dead || now - untold.begun >= options_.give_up;
+  return dead || now - it.begun >= options_.give_up_after;
 }
 
 }  // namespace quaytrack
--- a/relay/served_holds.cc
+++ b/relay/served_holds.cc
@@ -5,17 +5,20 @@
 namespace quaytrack {
 namespace {
 
+// Settled holds that are remembered, so that an ask that was overtaken by its
+// own end holds nothing. Of commit e7705ae; not measured.
 constexpr std::size_t kMostSettledRemembered = 4096;
 
 }  // namespace
 
-void ServedHolds::Hold::OnHeld() {
+void ServedHolds::PeerHold::OnHeld() {
+  // Granted while the ask ended.
   if (ended) return owner_.on_.settle(customer_, amount_, 0);
   held = true;
   owner_.Answer(key_, HoldAnswer::kHeld);
 }
 
-void ServedHolds::Hold::OnHoldRefused(bool exhausted) {
+void ServedHolds::PeerHold::OnHoldRefused(bool exhausted) {
   if (ended) return;
   ended = true;
   owner_.Answer(key_, exhausted ? HoldAnswer::kExhausted : HoldAnswer::kShort);
@@ -30,12 +33,12 @@
   on_.tell(key.asker, out);
 }
 
-void ServedHolds::OnHold(const PeerMessage& message) {
+void ServedHolds::OnHoldWanted(const PeerMessage& message) {
   const Key key{message.from, message.request};
   if (stopped_) return Answer(key, HoldAnswer::kElsewhere);
   if (settled_.contains(key) || holds_.contains(key)) return;
   const auto hold =
-      std::make_shared<Hold>(*this, key, message.customer, message.amount);
+      std::make_shared<PeerHold>(*this, key, message.customer, message.amount);
   holds_[key] = hold;
   on_.hold(hold);
 }
@@ -49,12 +52,12 @@
   on_.tell(message.from, out);
   const auto it = holds_.find(key);
   if (it == holds_.end()) return;
-  const HoldPtr hold = it->second;
+  const PeerHoldPtr hold = it->second;
   holds_.erase(it);
-  End(hold, message.amount);
+  Finish(hold, message.amount);
 }
 
-void ServedHolds::End(const HoldPtr& hold, Tokens cost) {
+void ServedHolds::Finish(const PeerHoldPtr& hold, Tokens cost) {
   hold->ended = true;
   if (!hold->held) return on_.forget(hold);
   on_.settle(hold->customer_, hold->amount_, cost);
@@ -62,25 +65,25 @@
 
 void ServedHolds::OnHello(const Incarnation& peer) {
   const VmName vm = VmOf(peer);
-  std::vector<HoldPtr> dead;
+  std::vector<PeerHoldPtr> dead;
   for (const auto& [key, hold] : holds_) {
     if (key.asker != peer && VmOf(key.asker) == vm) dead.push_back(hold);
   }
-  for (const HoldPtr& it : dead) {
+  for (const PeerHoldPtr& it : dead) {
     holds_.erase(it->key_);
-    End(it, it->amount_);
+    Finish(it, it->amount_);
   }
 }
 
 void ServedHolds::Stop() {
   stopped_ = true;
-  std::vector<HoldPtr> waiting;
+  std::vector<PeerHoldPtr> waiting;
   for (const auto& [key, hold] : holds_) {
     if (!hold->held) waiting.push_back(hold);
   }
-  for (const HoldPtr& it : waiting) {
+  for (const PeerHoldPtr& it : waiting) {
     holds_.erase(it->key_);
-    End(it, 0);
+    Finish(it, 0);
     Answer(it->key_, HoldAnswer::kElsewhere);
   }
 }
--- a/relay/served_holds.h
+++ b/relay/served_holds.h
@@ -1,9 +1,21 @@
-// ServedHolds: what this router, as a holder of budgets, holds for others.
+// ServedHolds: what this router, as a holder of grants, holds for peers that
+// keep none. The other half of relay/remote_holds.h.
 //
-// The other half of relay/remote_holds.h. A hold is kept until its cost is told
-// or until a later incarnation of the asker's VM proves that the asker has
-// died; then all of it counts as spent, since nobody knows how much was. Time
-// alone ends no hold: an asker that was frozen may go on spending.
+//   holds.OnHoldWanted(message);   // answered when the grant holds it, or not
+//   holds.OnSettle(message);       // acknowledged, each time that it comes
+//   holds.OnHello(peer);           // an earlier run on that VM is dead
+//
+// A hold is kept until its cost is told or until a later incarnation of the
+// asker's VM proves that the asker has died; then all of it counts as spent,
+// since nobody knows how much was. Time alone ends no hold: an asker that was
+// frozen may go on spending.
+//
+// Messages may be lost, doubled and late. An ask that comes again changes
+// nothing, and one that comes after its own end holds nothing.
+//
+// Owns the holds of peers. Relies on the handlers for the grant itself: a
+// peer's hold waits in the same queue as this router's requests
+// (relay/hold_queue.h). Units: tokens.
 
 #ifndef QUAYTRACK_RELAY_SERVED_HOLDS_H_
 #define QUAYTRACK_RELAY_SERVED_HOLDS_H_
@@ -25,16 +37,16 @@
 class ServedHolds {
  public:
   struct Handlers {
-    // The holder's own budgets; `hold` is answered by the waiter's callbacks.
-    std::function<void(const std::shared_ptr<HoldWaiter>&)> hold;
-    std::function<void(const std::shared_ptr<HoldWaiter>&)> forget;
+    // This router's own grants; `hold` is answered by the waiter's callbacks.
+    std::function<void(const HoldWaiterPtr&)> hold;
+    std::function<void(const HoldWaiterPtr&)> forget;
     std::function<void(const CustomerName&, Tokens held, Tokens cost)> settle;
     std::function<void(const Incarnation&, const PeerMessage&)> tell;
   };
 
   explicit ServedHolds(Handlers handlers) : on_(std::move(handlers)) {}
 
-  void OnHold(const PeerMessage& message);
+  void OnHoldWanted(const PeerMessage& message);
   void OnSettle(const PeerMessage& message);
   // A router said hello: earlier ones on its VM are dead.
   void OnHello(const Incarnation& peer);
@@ -48,8 +60,8 @@
     RequestId request;
     auto operator<=>(const Key&) const = default;
   };
-  struct Hold : HoldWaiter {
-    Hold(ServedHolds& owner, Key key, CustomerName customer, Tokens amount)
+  struct PeerHold : HoldWaiter {
+    PeerHold(ServedHolds& owner, Key key, CustomerName customer, Tokens amount)
         : owner_(owner),
           key_(std::move(key)),
           customer_(std::move(customer)),
@@ -67,15 +79,16 @@
     bool held = false;
     bool ended = false;
   };
-  using HoldPtr = std::shared_ptr<Hold>;
+  using PeerHoldPtr = std::shared_ptr<PeerHold>;
 
   void Answer(const Key& key, HoldAnswer answer);
-  void End(const HoldPtr& hold, Tokens cost);
+  void Finish(const PeerHoldPtr& hold, Tokens cost);
   void RememberSettled(const Key& key);
 
   Handlers on_;
-  std::map<Key, HoldPtr> holds_;
-  // Settled of late, against asks that arrive after that.
+  std::map<Key, PeerHoldPtr> holds_;
+  // Settled of late, against asks that arrive after that; in the order in which
+  // they are forgotten.
   std::set<Key> settled_;
   std::deque<Key> settled_order_;
   bool stopped_ = false;
--- a/relay/testing/holds_test.cc
+++ b/relay/testing/holds_test.cc
@@ -71,7 +71,7 @@
   }
 
   static void Deliver(Holder& holder, const PeerMessage& it) {
-    if (it.kind == PeerMessageKind::kHold) holder.served->OnHold(it);
+    if (it.kind == PeerMessageKind::kHold) holder.served->OnHoldWanted(it);
     if (it.kind == PeerMessageKind::kSettle) holder.served->OnSettle(it);
   }
 
@@ -82,7 +82,7 @@
     out.amount = amount;
     out.holders = {kHolders[0], kHolders[1]};
     out.done = [this](PrepaidVerdict it) { verdicts.push_back(it); };
-    remote->Ask(now, out);
+    remote->AskFor(now, out);
   }
 
   // Answers reach the asker.
@@ -99,7 +99,7 @@
 
   void Pass(Duration time) {
     now += time;
-    remote->Tick(now);
+    remote->CheckTimes(now);
     Answers();
   }
 
