--- a/prepaid/prepaid_ledger.cc
+++ b/prepaid/prepaid_ledger.cc
@@ -31,9 +31,9 @@
   return it == spend.customers.end() ? PrepaidSpent() : it->second;
 }
 
-Tokens Known(const PrepaidEntry& entry, const MovePair& pair) {
-  const auto it = entry.moved.find(pair);
-  return it == entry.moved.end() ? 0 : it->second;
+Tokens Known(const PrepaidEntry& entry, const TransferPair& pair) {
+  const auto it = entry.transferred.find(pair);
+  return it == entry.transferred.end() ? 0 : it->second;
 }
 
 }  // namespace
@@ -97,11 +97,11 @@
   Tokens out = FindOr0(entry->second.grants, self_) - account.unreported -
                SpentIn(view.spend, customer).spent;
   if (reported != view.reported.end()) out += reported->second;
-  for (const auto& [giver, total] : account.received) {
+  for (const auto& [giver, total] : account.transferred_in) {
     const Tokens known = Known(entry->second, {giver, self_});
     out += std::max<Tokens>(0, total - known);
   }
-  for (const auto& [receiver, total] : account.given) {
+  for (const auto& [receiver, total] : account.transferred_out) {
     const Tokens known = Known(entry->second, {self_, receiver});
     out -= std::max<Tokens>(0, total - known);
   }
@@ -176,15 +176,15 @@
   return rich && since >= policy_.report_every;
 }
 
-bool PrepaidLedger::HasUnbookedMoves() const {
+bool PrepaidLedger::HasUnrecordedTransfers() const {
   for (const auto& [customer, account] : accounts_) {
     const auto found = base_->record.customers.find(customer);
     if (found == base_->record.customers.end()) continue;
     const PrepaidEntry& entry = found->second;
-    for (const auto& [giver, total] : account.received) {
+    for (const auto& [giver, total] : account.transferred_in) {
       if (Known(entry, {giver, self_}) < total) return true;
     }
-    for (const auto& [receiver, total] : account.given) {
+    for (const auto& [receiver, total] : account.transferred_out) {
       if (Known(entry, {self_, receiver}) < total) return true;
     }
   }
@@ -202,7 +202,7 @@
                      entry->second.limit != limit;
     if (old && since >= policy_.spacing) return true;
   }
-  return since >= policy_.book_every && HasUnbookedMoves();
+  return since >= policy_.record_transfers_every && HasUnrecordedTransfers();
 }
 
 bool PrepaidLedger::ReportIsDue(Instant now) const {
@@ -248,7 +248,7 @@
       out.removes[it] = stored.revision;
     }
     TakeLimits(next.record);
-    BookMoves(next.record);
+    RecordTransfers(next.record);
     Fold(next);
     Adjust(now, next);
   }
@@ -305,13 +305,13 @@
   }
 }
 
-void PrepaidLedger::BookMoves(PrepaidRecord& record) const {
+void PrepaidLedger::RecordTransfers(PrepaidRecord& record) const {
   for (const auto& [customer, account] : accounts_) {
-    for (const auto& [giver, total] : account.received) {
-      record.Book(customer, {giver, self_}, total);
+    for (const auto& [giver, total] : account.transferred_in) {
+      record.RecordTransfer(customer, {giver, self_}, total);
     }
-    for (const auto& [receiver, total] : account.given) {
-      record.Book(customer, {self_, receiver}, total);
+    for (const auto& [receiver, total] : account.transferred_out) {
+      record.RecordTransfer(customer, {self_, receiver}, total);
     }
   }
 }
@@ -495,10 +495,10 @@
 
 // --- Moves -------------------------------------------------------------------
 
-std::optional<Tokens> PrepaidLedger::Give(Instant now,
-                                          const CustomerName& customer,
-                                          const Incarnation& receiver,
-                                          Tokens amount, bool all) {
+std::optional<Tokens> PrepaidLedger::TransferOut(Instant now,
+                                                 const CustomerName& customer,
+                                                 const Incarnation& receiver,
+                                                 Tokens amount, bool all) {
   if (leaving_ || !joined_ || !limits_.contains(customer)) return std::nullopt;
   // A receiver that the record doesn't show could not be told from a dead one
   // when the move is booked.
@@ -507,15 +507,15 @@
   const Tokens most = all ? idle : idle / 2;
   const Tokens given = std::min(most, amount);
   if (given <= 0) return std::nullopt;
-  Tokens& total = accounts_[customer].given[receiver];
+  Tokens& total = accounts_[customer].transferred_out[receiver];
   total += given;
   return total;
 }
 
-void PrepaidLedger::OnMove(const CustomerName& customer,
-                           const Incarnation& giver, Tokens total) {
+void PrepaidLedger::OnTransfer(const CustomerName& customer,
+                               const Incarnation& giver, Tokens total) {
   if (left_ || leaving_) return;
-  Tokens& known = accounts_[customer].received[giver];
+  Tokens& known = accounts_[customer].transferred_in[giver];
   known = std::max(known, total);
 }
 
--- a/prepaid/prepaid_ledger.h
+++ b/prepaid/prepaid_ledger.h
@@ -16,8 +16,8 @@
 //
 // and, when the store is away or has nothing left to grant, with the peers:
 //
-//   giver:     auto total = ledger.Give(now, customer, asker, amount, all);
-//   receiver:  ledger.OnMove(customer, giver, total);
+//   giver:     auto total = ledger.TransferOut(now, customer, asker, amount,
+//   all); receiver:  ledger.OnTransfer(customer, giver, total);
 //
 // What may be spent. `Allowance` is the least that holds in every state that
 // the record may be in: the last one seen, and that of each write of which no
@@ -72,7 +72,7 @@
   Duration refresh_per_member = std::chrono::milliseconds(750);
   Duration refresh_waiting = std::chrono::milliseconds(400);
   // Longest time that moves stay unbooked while the store answers.
-  Duration book_every = std::chrono::milliseconds(1500);
+  Duration record_transfers_every = std::chrono::milliseconds(1500);
   // Shortest time between two writes, and while a request waits for a grant.
   Duration spacing = std::chrono::milliseconds(400);
   Duration urgent_spacing = std::chrono::milliseconds(10);
@@ -196,11 +196,11 @@
   // Takes up to `amount` off this router's part, for a peer. Returns the
   // running total to tell it, or nothing if there is none to give. `all` lets
   // go of everything idle; otherwise half is kept.
-  std::optional<Tokens> Give(Instant now, const CustomerName& customer,
-                             const Incarnation& receiver, Tokens amount,
-                             bool all);
-  void OnMove(const CustomerName& customer, const Incarnation& giver,
-              Tokens total);
+  std::optional<Tokens> TransferOut(Instant now, const CustomerName& customer,
+                                    const Incarnation& receiver, Tokens amount,
+                                    bool all);
+  void OnTransfer(const CustomerName& customer, const Incarnation& giver,
+                  Tokens total);
 
   // Returns everything at the next write and takes part no more.
   void StartLeaving() {
@@ -235,8 +235,8 @@
     Tokens held = 0;
     Tokens waiting = 0;
     DecayingRate spending{kSpendingTime};
-    std::map<Incarnation, Tokens> given;
-    std::map<Incarnation, Tokens> received;
+    std::map<Incarnation, Tokens> transferred_out;
+    std::map<Incarnation, Tokens> transferred_in;
   };
 
   // Everything idle, locked or not.
@@ -250,10 +250,10 @@
   bool RecordIsDue(Instant now) const;
   bool ReportIsDue(Instant now) const;
   bool GrantIsDue(Instant now, const CustomerName& customer) const;
-  bool HasUnbookedMoves() const;
+  bool HasUnrecordedTransfers() const;
   std::vector<PrepaidClosing> Join(PrepaidRecord& record) const;
   void TakeLimits(PrepaidRecord& record) const;
-  void BookMoves(PrepaidRecord& record) const;
+  void RecordTransfers(PrepaidRecord& record) const;
   void Report(View& view) const;
   void Fold(View& view) const;
   void Adjust(Instant now, View& view) const;
--- a/prepaid/prepaid_record.cc
+++ b/prepaid/prepaid_record.cc
@@ -28,7 +28,7 @@
 };
 
 // Places in the array of an entry.
-enum EntryPlace { kLimit, kVersion, kSettled, kGrants, kMoved };
+enum EntryPlace { kLimit, kVersion, kSettled, kGrants, kTransferred };
 
 Json EntryToJson(const PrepaidEntry& entry, NameTable& names) {
   Json grants = Json::array();
@@ -36,7 +36,7 @@
     grants.push_back({names.NumberOf(who), amount});
   }
   Json moved = Json::array();
-  for (const auto& [pair, total] : entry.moved) {
+  for (const auto& [pair, total] : entry.transferred) {
     moved.push_back(
         {names.NumberOf(pair.giver), names.NumberOf(pair.receiver), total});
   }
@@ -56,9 +56,9 @@
   for (const Json& it : json.at(kGrants)) {
     out.grants[NameAt(names, it.at(0))] = it.at(1).get<Tokens>();
   }
-  for (const Json& it : json.at(kMoved)) {
-    const MovePair pair{NameAt(names, it.at(0)), NameAt(names, it.at(1))};
-    out.moved[pair] = it.at(2).get<Tokens>();
+  for (const Json& it : json.at(kTransferred)) {
+    const TransferPair pair{NameAt(names, it.at(0)), NameAt(names, it.at(1))};
+    out.transferred[pair] = it.at(2).get<Tokens>();
   }
   return out;
 }
@@ -118,17 +118,17 @@
   }
   // Moves between two that are both closed have no one left to book them.
   for (auto& [name, entry] : customers) {
-    std::erase_if(entry.moved, [&](const auto& it) {
+    std::erase_if(entry.transferred, [&](const auto& it) {
       return !IsOpen(it.first.giver) && !IsOpen(it.first.receiver);
     });
   }
   return out;
 }
 
-void PrepaidRecord::Book(const CustomerName& customer, const MovePair& pair,
-                         Tokens total) {
+void PrepaidRecord::RecordTransfer(const CustomerName& customer,
+                                   const TransferPair& pair, Tokens total) {
   PrepaidEntry& entry = customers[customer];
-  Tokens& known = entry.moved[pair];
+  Tokens& known = entry.transferred[pair];
   const Tokens amount = total - known;
   if (amount <= 0) return;
   known = total;
--- a/prepaid/prepaid_record.h
+++ b/prepaid/prepaid_record.h
@@ -45,10 +45,10 @@
 namespace quaytrack {
 
 // Between two routers, of one customer.
-struct MovePair {
+struct TransferPair {
   Incarnation giver;
   Incarnation receiver;
-  auto operator<=>(const MovePair&) const = default;
+  auto operator<=>(const TransferPair&) const = default;
 };
 
 struct PrepaidEntry {
@@ -57,7 +57,7 @@
   std::uint64_t limit_version = 0;
   Tokens settled = 0;
   std::map<Incarnation, Tokens> grants;
-  std::map<MovePair, Tokens> moved;
+  std::map<TransferPair, Tokens> transferred;
 
   Tokens Outstanding() const;
   // What may still be granted. Negative after a limit was lowered under use.
@@ -102,7 +102,8 @@
 
   // Raises the known total of moves from `giver` to `receiver`; no effect if
   // it isn't above what is known.
-  void Book(const CustomerName& customer, const MovePair& pair, Tokens total);
+  void RecordTransfer(const CustomerName& customer, const TransferPair& pair,
+                      Tokens total);
 
   bool operator==(const PrepaidRecord&) const = default;
 };
--- a/prepaid/testing/ledger_test.cc
+++ b/prepaid/testing/ledger_test.cc
@@ -192,19 +192,19 @@
   giver.OnPeerSeen(Incarnation("vm2@1"));
   store.Serve(now, giver, Incarnation("vm1@1"));
   const auto total =
-      giver.Give(now, kCustomer, Incarnation("vm2@1"), 3000, true);
+      giver.TransferOut(now, kCustomer, Incarnation("vm2@1"), 3000, true);
   BOOST_REQUIRE(total.has_value());
   const Tokens before = receiver.Allowance(now, kCustomer);
   for (int n = 0; n < 3; ++n) {
-    receiver.OnMove(kCustomer, Incarnation("vm1@1"), *total);
+    receiver.OnTransfer(kCustomer, Incarnation("vm1@1"), *total);
   }
   BOOST_TEST(receiver.Allowance(now, kCustomer) == before + *total);
   const Tokens outstanding = store.entry().Outstanding();
   now += milliseconds(1600);
   store.Serve(now, receiver, Incarnation("vm2@1"));
   store.Serve(now, giver, Incarnation("vm1@1"));
-  const MovePair pair{Incarnation("vm1@1"), Incarnation("vm2@1")};
-  BOOST_TEST(store.entry().moved.at(pair) == *total);
+  const TransferPair pair{Incarnation("vm1@1"), Incarnation("vm2@1")};
+  BOOST_TEST(store.entry().transferred.at(pair) == *total);
   BOOST_TEST(store.entry().settled == 0);
   BOOST_TEST(store.entry().Outstanding() <= outstanding);
 }
@@ -233,8 +233,8 @@
 
 BOOST_FIXTURE_TEST_CASE(RecordsSurviveTheirEncoding, Fixture) {
   Join("vm1@1");
-  store.record.Book(kCustomer, {Incarnation("vm1@1"), Incarnation("vm9@1")},
-                    77);
+  store.record.RecordTransfer(kCustomer,
+                              {Incarnation("vm1@1"), Incarnation("vm9@1")}, 77);
   BOOST_TEST((DecodePrepaid(EncodePrepaid(store.record)) == store.record));
   const PrepaidSpend& spend = store.spends.at(Incarnation("vm1@1")).spend;
   BOOST_TEST((DecodeSpend(EncodeSpend(spend)) == spend));
--- a/prepaid/testing/property_test.cc
+++ b/prepaid/testing/property_test.cc
@@ -187,8 +187,8 @@
     Router& giver = Any();
     Router& asker = Any();
     if (giver.self == asker.self) return;
-    const auto total = giver.ledger->Give(now_, kCustomer, asker.self,
-                                          Draw(100, 4000), Draw(0, 1) == 0);
+    const auto total = giver.ledger->TransferOut(
+        now_, kCustomer, asker.self, Draw(100, 4000), Draw(0, 1) == 0);
     if (!total) return;
     if (Draw(0, 4) == 0) return;  // lost
     moves_.push_back({giver.self, asker.self, *total});
@@ -204,7 +204,7 @@
     for (Router& it : routers_) {
       // A message goes to an address; a later incarnation takes no notice.
       if (it.self != move.receiver) continue;
-      it.ledger->OnMove(kCustomer, move.giver, move.total);
+      it.ledger->OnTransfer(kCustomer, move.giver, move.total);
     }
   }
 
--- a/prepaid/testing/record_test.cc
+++ b/prepaid/testing/record_test.cc
@@ -23,7 +23,7 @@
   entry.limit_version = 7;
   entry.settled = 200;
   entry.grants = {{kOne, 300}, {kTwo, 100}};
-  out.Book(kCustomer, {kOne, kTwo}, 50);
+  out.RecordTransfer(kCustomer, {kOne, kTwo}, 50);
   return out;
 }
 
@@ -54,10 +54,10 @@
 // A total that was known before, or is older, changes nothing.
 BOOST_AUTO_TEST_CASE(AMoveCountsOnceInTheRecord) {
   PrepaidRecord record = Record();
-  record.Book(kCustomer, {kOne, kTwo}, 50);
-  record.Book(kCustomer, {kOne, kTwo}, 20);
+  record.RecordTransfer(kCustomer, {kOne, kTwo}, 50);
+  record.RecordTransfer(kCustomer, {kOne, kTwo}, 20);
   BOOST_TEST((record == Record()));
-  record.Book(kCustomer, {kOne, kTwo}, 80);
+  record.RecordTransfer(kCustomer, {kOne, kTwo}, 80);
   BOOST_TEST(record.customers[kCustomer].grants[kOne] == 220);
   BOOST_TEST(record.customers[kCustomer].grants[kTwo] == 180);
 }
@@ -69,7 +69,7 @@
   PrepaidEntry& entry = record.customers[kCustomer];
   BOOST_TEST(entry.settled == 450);
   BOOST_TEST(!record.members.contains(kOne));
-  record.Book(kCustomer, {kOne, kTwo}, 80);
+  record.RecordTransfer(kCustomer, {kOne, kTwo}, 80);
   BOOST_TEST(entry.settled == 420);
   BOOST_TEST(entry.grants[kTwo] == 180);
 }
--- a/relay/budget_driver.cc
+++ b/relay/budget_driver.cc
@@ -194,12 +194,12 @@
   switch (message.kind) {
     case PeerMessageKind::kHello:
       return served_.OnHello(message.from);
-    case PeerMessageKind::kMove:
+    case PeerMessageKind::kTransfer:
       transfers_.OnTransfer(message);
       return queue_.Serve(clock_.Now());
-    case PeerMessageKind::kAsk:
+    case PeerMessageKind::kTransferWanted:
       return transfers_.OnWanted(clock_.Now(), message);
-    case PeerMessageKind::kHold:
+    case PeerMessageKind::kHoldWanted:
       return served_.OnHoldWanted(message);
     case PeerMessageKind::kSettle:
       return served_.OnSettle(message);
--- a/relay/grant_transfers.cc
+++ b/relay/grant_transfers.cc
@@ -34,7 +34,7 @@
       all ? 0 : std::max<Tokens>(kLeastSpare, std::lround(lately));
   const Tokens own = std::max<Tokens>(0, ledger_.Allowance(now, customer));
   PeerMessage out;
-  out.kind = PeerMessageKind::kAsk;
+  out.kind = PeerMessageKind::kTransferWanted;
   out.customer = customer;
   out.amount = waiting + spare - own;
   out.all = all;
@@ -43,11 +43,11 @@
 
 void GrantTransfers::OnWanted(Instant now, const PeerMessage& message) {
   ledger_.OnPeerSeen(message.from);
-  const auto total = ledger_.Give(now, message.customer, message.from,
-                                  message.amount, message.all);
+  const auto total = ledger_.TransferOut(now, message.customer, message.from,
+                                         message.amount, message.all);
   if (!total) return;
   PeerMessage out;
-  out.kind = PeerMessageKind::kMove;
+  out.kind = PeerMessageKind::kTransfer;
   out.customer = message.customer;
   out.amount = *total;
   LogEvent(Event::kMoveGiven, {{"customer", message.customer.value},
@@ -58,7 +58,7 @@
 
 void GrantTransfers::OnTransfer(const PeerMessage& message) {
   ledger_.OnPeerSeen(message.from);
-  ledger_.OnMove(message.customer, message.from, message.amount);
+  ledger_.OnTransfer(message.customer, message.from, message.amount);
 }
 
 }  // namespace quaytrack
--- a/relay/grant_transfers.h
+++ b/relay/grant_transfers.h
@@ -18,7 +18,7 @@
 // what waits and what the next second is likely to need, but at least
 // `kLeastSpare`, so that not each request has to ask again; the second ask, for
 // everything unused, is only for what waits. How much a peer gives up is the
-// ledger's decision (PrepaidLedger::Give).
+// ledger's decision (PrepaidLedger::TransferOut).
 //
 // Owns the demand of each customer. Units: tokens.
 
--- a/relay/peer_messages.h
+++ b/relay/peer_messages.h
@@ -1,4 +1,17 @@
 // What routers tell each other, as CBOR in websocket messages.
+//
+//   PeerMessage out;
+//   out.kind = PeerMessageKind::kHoldWanted;
+//   send(EncodePeerMessage(out));
+//   if (auto in = DecodePeerMessage(bytes)) switch (in->kind) {...}
+//
+// One type holds the fields of all kinds; a comment says which kinds use which.
+// A field that is absent has the value that it is initialized with here, and
+// fields and kinds that aren't known are skipped, so that routers of different
+// builds understand each other. The names on the wire are older than those of
+// the code: the table below and FromJson map them.
+//
+// Units: tokens. Any message may be lost; none is answered by the link itself.
 
 #ifndef QUAYTRACK_RELAY_PEER_MESSAGES_H_
 #define QUAYTRACK_RELAY_PEER_MESSAGES_H_
@@ -14,16 +27,16 @@
 namespace quaytrack {
 
 enum class PeerMessageKind {
-  kHello,         // who is at this end
-  kPing,          // nothing but a sign of life, with the version in force
-  kAsk,           // give me some of a customer's budget
-  kMove,          // running total of what I gave you
-  kHold,          // hold so much of a customer's budget for a request
-  kHoldAnswer,    // whether it is held
-  kSettle,        // what the request has cost
-  kSettled,       // the cost is counted
-  kConfigWanted,  // send me the configuration
-  kConfig,        // the configuration, as the store has it
+  kHello,           // who is at this end
+  kPing,            // nothing but a sign of life, with the version in force
+  kTransferWanted,  // transfer some of your grant of a customer's budget to me
+  kTransfer,        // running total of what I have transferred to you
+  kHoldWanted,      // hold so much of a customer's budget for a request
+  kHoldAnswer,      // whether it is held
+  kSettle,          // what the request has cost
+  kSettled,         // the cost is counted
+  kConfigWanted,    // send me the configuration
+  kConfig,          // the configuration, as the store has it
 };
 
 template <>
@@ -31,9 +44,9 @@
   static constexpr auto kEntries = std::to_array<EnumEntry<PeerMessageKind>>(
       {{PeerMessageKind::kHello, "hello"},
        {PeerMessageKind::kPing, "ping"},
-       {PeerMessageKind::kAsk, "ask"},
-       {PeerMessageKind::kMove, "move"},
-       {PeerMessageKind::kHold, "hold"},
+       {PeerMessageKind::kTransferWanted, "ask"},
+       {PeerMessageKind::kTransfer, "move"},
+       {PeerMessageKind::kHoldWanted, "hold"},
        {PeerMessageKind::kHoldAnswer, "hold_answer"},
        {PeerMessageKind::kSettle, "settle"},
        {PeerMessageKind::kSettled, "settled"},
@@ -41,7 +54,7 @@
        {PeerMessageKind::kConfig, "config"}});
 };
 
-// A holder's answer to kHold.
+// A holder's answer to kHoldWanted.
 enum class HoldAnswer {
   kHeld,
   kShort,      // what this holder can reach doesn't hold it
@@ -61,18 +74,21 @@
 struct PeerMessage {
   PeerMessageKind kind = PeerMessageKind::kPing;
   Incarnation from;
-  // kAsk, kMove, kHold; `amount` also of kSettle.
+  // kTransferWanted, kTransfer, kHoldWanted.
   CustomerName customer;
+  // The same kinds: what is wanted, the running total, the worst case. kSettle:
+  // the cost.
   Tokens amount = 0;
+  // kTransferWanted: everything idle may go; otherwise half is kept.
   bool all = false;
-  // kHold, kHoldAnswer, kSettle, kSettled.
+  // kHoldWanted, kHoldAnswer, kSettle, kSettled.
   RequestId request;
   HoldAnswer answer = HoldAnswer::kElsewhere;
   // kHello: where the sender is.
   HallName hall;
   std::string address;
   // kHello, kPing: the configuration in force at the sender, and whether it
-  // takes part in the prepaid record.
+  // keeps grants of prepaid budgets.
   std::uint64_t config_version = 0;
   bool keeps_budgets = false;
   // Revision of the latest change of the list of targets that the sender knows.
--- a/relay/remote_holds.cc
+++ b/relay/remote_holds.cc
@@ -40,7 +40,7 @@
   }
   if (ask.holder.empty()) return;
   PeerMessage out;
-  out.kind = PeerMessageKind::kHold;
+  out.kind = PeerMessageKind::kHoldWanted;
   out.request = ask.request.id;
   out.customer = ask.request.customer;
   out.amount = ask.request.amount;
--- a/relay/testing/budgets_test.cc
+++ b/relay/testing/budgets_test.cc
@@ -332,7 +332,7 @@
   RunSome();
   BOOST_TEST(order.empty());
   // What a peer transfers serves both, in their order.
-  budgets.OnPeer(Message(PeerMessageKind::kMove, 40000));
+  budgets.OnPeer(Message(PeerMessageKind::kTransfer, 40000));
   BOOST_TEST(RunUntil([&] { return order.size() == 2; }));
   const std::vector<std::string> expected = {"large", "small"};
   BOOST_TEST(order == expected);
@@ -376,7 +376,7 @@
   RunSome();
   BOOST_REQUIRE(broadcasts.size() == 2U);
   for (const Sent& sent : broadcasts) {
-    BOOST_TEST((sent.message.kind == PeerMessageKind::kAsk));
+    BOOST_TEST((sent.message.kind == PeerMessageKind::kTransferWanted));
     BOOST_TEST(sent.message.from.value == kSelf.value);
     BOOST_TEST(sent.message.customer.value == kCustomer.value);
   }
@@ -423,7 +423,7 @@
   BOOST_TEST((budgets.Hold(next) == PrepaidVerdict::kShort));
   const Tokens before = Allowance();
   budgets.Forget(it);
-  budgets.OnPeer(Message(PeerMessageKind::kMove, 1));
+  budgets.OnPeer(Message(PeerMessageKind::kTransfer, 1));
   BOOST_TEST(Answered(*next));
   BOOST_TEST(next->held == 1);
   clock.Advance(seconds(1));
@@ -522,25 +522,25 @@
 BOOST_FIXTURE_TEST_CASE(AnAskIsGivenOnceAndTakenOff, Fixture) {
   JoinAndStop();
   const Tokens before = Allowance();
-  PeerMessage ask = Message(PeerMessageKind::kAsk, 1000);
+  PeerMessage ask = Message(PeerMessageKind::kTransferWanted, 1000);
   ask.all = true;
   budgets.OnPeer(ask);
-  const auto moves = ToldOf(PeerMessageKind::kMove);
+  const auto moves = ToldOf(PeerMessageKind::kTransfer);
   BOOST_REQUIRE(moves.size() == 1U);
   BOOST_TEST(moves[0].to.value == kPeer.value);
   BOOST_TEST(moves[0].message.amount == 1000);
   BOOST_TEST(Allowance() == before - 1000);
   // What is told is the sum of all that was given.
   budgets.OnPeer(ask);
-  BOOST_TEST(ToldOf(PeerMessageKind::kMove).back().message.amount == 2000);
+  BOOST_TEST(ToldOf(PeerMessageKind::kTransfer).back().message.amount == 2000);
   BOOST_TEST(Allowance() == before - 2000);
 }
 
 BOOST_FIXTURE_TEST_CASE(AnAskForSomeLeavesHalf, Fixture) {
   JoinAndStop();
   const Tokens before = Allowance();
-  budgets.OnPeer(Message(PeerMessageKind::kAsk, kLimit));
-  const auto moves = ToldOf(PeerMessageKind::kMove);
+  budgets.OnPeer(Message(PeerMessageKind::kTransferWanted, kLimit));
+  const auto moves = ToldOf(PeerMessageKind::kTransfer);
   BOOST_REQUIRE(moves.size() == 1U);
   BOOST_TEST(moves[0].message.amount == before / 2);
 }
@@ -548,16 +548,16 @@
 BOOST_FIXTURE_TEST_CASE(AMoveThatComesTwiceCountsOnce, Fixture) {
   JoinAndStop();
   const Tokens before = Allowance();
-  budgets.OnPeer(Message(PeerMessageKind::kMove, 700));
-  budgets.OnPeer(Message(PeerMessageKind::kMove, 700));
+  budgets.OnPeer(Message(PeerMessageKind::kTransfer, 700));
+  budgets.OnPeer(Message(PeerMessageKind::kTransfer, 700));
   BOOST_TEST(Allowance() == before + 700);
 }
 
 BOOST_FIXTURE_TEST_CASE(APeersHoldIsKeptUntilItsCostIsTold, Fixture) {
   JoinAndStop();
   const Tokens before = Allowance();
-  budgets.OnPeer(Message(PeerMessageKind::kHold, 1000, "r"));
-  budgets.OnPeer(Message(PeerMessageKind::kHold, 1000, "r"));
+  budgets.OnPeer(Message(PeerMessageKind::kHoldWanted, 1000, "r"));
+  budgets.OnPeer(Message(PeerMessageKind::kHoldWanted, 1000, "r"));
   const auto answers = ToldOf(PeerMessageKind::kHoldAnswer);
   BOOST_REQUIRE(answers.size() == 1U);
   BOOST_TEST((answers[0].message.answer == HoldAnswer::kHeld));
@@ -571,7 +571,7 @@
 
 BOOST_FIXTURE_TEST_CASE(APeersHoldWaitsLikeAnyOther, Fixture) {
   JoinAndStop();
-  budgets.OnPeer(Message(PeerMessageKind::kHold, 40000, "r"));
+  budgets.OnPeer(Message(PeerMessageKind::kHoldWanted, 40000, "r"));
   BOOST_TEST(ToldOf(PeerMessageKind::kHoldAnswer).empty());
   clock.Advance(milliseconds(160));
   const auto answered = [&] {
@@ -585,7 +585,7 @@
 BOOST_FIXTURE_TEST_CASE(AStoppingRouterSendsAskersToOtherHolders, Fixture) {
   Join();
   budgets.StopServing();
-  budgets.OnPeer(Message(PeerMessageKind::kHold, 1000, "r"));
+  budgets.OnPeer(Message(PeerMessageKind::kHoldWanted, 1000, "r"));
   const auto answers = ToldOf(PeerMessageKind::kHoldAnswer);
   BOOST_REQUIRE(answers.size() == 1U);
   BOOST_TEST((answers[0].message.answer == HoldAnswer::kElsewhere));
@@ -623,7 +623,7 @@
 BOOST_FIXTURE_TEST_CASE(WithoutAGrantAHolderIsAskedAndTold, AskerFixture) {
   const WaiterPtr it = Make("r", 1000);
   BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
-  const auto asks = ToldOf(PeerMessageKind::kHold);
+  const auto asks = ToldOf(PeerMessageKind::kHoldWanted);
   BOOST_REQUIRE(asks.size() == 1U);
   BOOST_TEST(asks[0].to.value == holder.value);
   BOOST_TEST(asks[0].message.amount == 1000);
--- a/relay/testing/holds_test.cc
+++ b/relay/testing/holds_test.cc
@@ -71,7 +71,8 @@
   }
 
   static void Deliver(Holder& holder, const PeerMessage& it) {
-    if (it.kind == PeerMessageKind::kHold) holder.served->OnHoldWanted(it);
+    if (it.kind == PeerMessageKind::kHoldWanted)
+      holder.served->OnHoldWanted(it);
     if (it.kind == PeerMessageKind::kSettle) holder.served->OnSettle(it);
   }
 
@@ -166,7 +167,7 @@
 
 BOOST_FIXTURE_TEST_CASE(AnAskThatArrivesAfterItsEndHoldsNothing, Fixture) {
   PeerMessage ask;
-  ask.kind = PeerMessageKind::kHold;
+  ask.kind = PeerMessageKind::kHoldWanted;
   ask.from = kAsker;
   ask.request = RequestId("r");
   ask.customer = kCustomer;
--- a/relay/testing/peer_messages_test.cc
+++ b/relay/testing/peer_messages_test.cc
@@ -45,20 +45,20 @@
 }
 
 BOOST_AUTO_TEST_CASE(MessagesAboutGrantsKeepTheirForm) {
-  PeerMessage it = Message(PeerMessageKind::kAsk);
+  PeerMessage it = Message(PeerMessageKind::kTransferWanted);
   it.customer = CustomerName("clinic");
   it.amount = 500;
   it.all = true;
   Check(it, R"({"kind": "ask", "from": "vm1@1", "customer": "clinic",
                 "all": true, "amount": 500})");
-  it.kind = PeerMessageKind::kMove;
+  it.kind = PeerMessageKind::kTransfer;
   it.all = false;
   Check(it, R"({"kind": "move", "from": "vm1@1", "customer": "clinic",
                 "all": false, "amount": 500})");
 }
 
 BOOST_AUTO_TEST_CASE(MessagesAboutHoldsKeepTheirForm) {
-  PeerMessage it = Message(PeerMessageKind::kHold);
+  PeerMessage it = Message(PeerMessageKind::kHoldWanted);
   it.request = RequestId("r");
   it.customer = CustomerName("clinic");
   it.amount = 130;
