--- a/prepaid/prepaid_ledger.cc
+++ b/prepaid/prepaid_ledger.cc
@@ -115,18 +115,18 @@
   return it == accounts_.end() ? kNothing : it->second;
 }
 
-bool PrepaidLedger::LockHolds(Instant now) const {
-  return now < stamp_ + policy_.lock_time;
+bool PrepaidLedger::StillWithheld(Instant now) const {
+  return now < stamp_ + policy_.withhold_time;
 }
 
 Tokens PrepaidLedger::Allowance(Instant now,
                                 const CustomerName& customer) const {
   if (!base_ || fenced_ || left_) return 0;
   const Account& account = AccountOf(customer);
-  const bool lock = LockHolds(now);
+  const bool withheld = StillWithheld(now);
   const auto allowance = [&](const View& view) {
     const Tokens idle = IdleIn(view, customer, account);
-    return lock ? idle - SpentIn(view.spend, customer).locked : idle;
+    return withheld ? idle - SpentIn(view.spend, customer).withheld : idle;
   };
   Tokens out = allowance(*base_);
   for (const View& it : attempts_) out = std::min(out, allowance(it));
@@ -155,8 +155,8 @@
   return static_cast<Tokens>(std::max(standing, cover));
 }
 
-// The grant itself is too small or too large; a lock that leaves too little
-// open needs only a report.
+// The grant itself is too small or too large; a withheld part that leaves too
+// little to be spent needs only a report.
 bool PrepaidLedger::GrantIsDue(Instant now,
                                const CustomerName& customer) const {
   const auto found = base_->record.customers.find(customer);
@@ -211,16 +211,16 @@
   for (const auto& [customer, limit] : limits_) {
     const Account& account = AccountOf(customer);
     unreported = unreported || account.unreported > 0;
-    const Tokens locked = SpentIn(base_->spend, customer).locked;
-    if (locked <= 0 || !LockHolds(now)) continue;
+    const Tokens withheld = SpentIn(base_->spend, customer).withheld;
+    if (withheld <= 0 || !StillWithheld(now)) continue;
     const Tokens open = Allowance(now, customer);
     if (open < account.waiting) return true;
     const auto entry = base_->record.customers.find(customer);
     if (entry == base_->record.customers.end()) continue;
     const auto target = static_cast<double>(
         TargetIn(now, base_->record, entry->second, account));
-    const bool low =
-        static_cast<double>(open) < target * policy_.open_share * kLowWater;
+    const bool low = static_cast<double>(open) <
+                     target * policy_.spendable_share * kLowWater;
     if (low && since >= policy_.spacing) return true;
   }
   return unreported && since >= policy_.report_every;
@@ -252,7 +252,7 @@
     Fold(next);
     Adjust(now, next);
   }
-  Lock(now, next);
+  Withhold(now, next);
   if (leaving_) next.record.Close(self_, nullptr);
   out.leaves = leaving_;
   out.expected_spend = next.spend_revision;
@@ -282,14 +282,14 @@
       const bool same_clock =
           !spend.boot.empty() && spend.boot == identity_.boot;
       const auto age = std::chrono::milliseconds(closing.age_ms);
-      closing.lock_held =
-          same_clock && closing.age_ms >= 0 && age < policy_.lock_time;
+      closing.withheld_unspent =
+          same_clock && closing.age_ms >= 0 && age < policy_.withhold_time;
     }
     out.push_back(closing);
   }
   for (PrepaidClosing& it : out) {
     const PrepaidSpend* untouched =
-        it.lock_held ? &predecessors_.at(it.dead).spend : nullptr;
+        it.withheld_unspent ? &predecessors_.at(it.dead).spend : nullptr;
     it.charged = record.Close(it.dead, untouched);
   }
   record.members.insert(self_);
@@ -359,8 +359,9 @@
   }
 }
 
-// Leaves open what waits and a share of the target, and locks the rest.
-void PrepaidLedger::Lock(Instant now, View& view) const {
+// Leaves what waits and a share of the target to be spent, and withholds the
+// rest.
+void PrepaidLedger::Withhold(Instant now, View& view) const {
   for (const auto& [customer, limit] : limits_) {
     const auto found = view.record.customers.find(customer);
     if (found == view.record.customers.end()) continue;
@@ -368,12 +369,12 @@
     const Account& account = AccountOf(customer);
     const auto target =
         static_cast<double>(TargetIn(now, view.record, entry, account));
-    const auto open = static_cast<Tokens>(target * policy_.open_share);
+    const auto open = static_cast<Tokens>(target * policy_.spendable_share);
     const Tokens spare =
         IdleIn(view, customer, account) - account.waiting - open;
     const Tokens grant = FindOr0(entry.grants, self_);
     PrepaidSpent& it = view.spend.customers[customer];
-    it.locked = std::clamp<Tokens>(spare, 0, std::max<Tokens>(0, grant));
+    it.withheld = std::clamp<Tokens>(spare, 0, std::max<Tokens>(0, grant));
   }
 }
 
--- a/prepaid/prepaid_ledger.h
+++ b/prepaid/prepaid_ledger.h
@@ -57,10 +57,10 @@
   // than its part of the standing share, up to `most_share` of what remains.
   Duration cover = std::chrono::seconds(5);
   double most_share = 0.6;
-  // Part of a router's own target that isn't locked.
-  double open_share = 0.25;
-  // How long after a write the locked part is left alone.
-  Duration lock_time = std::chrono::milliseconds(2000);
+  // Part of a router's own target that isn't withheld.
+  double spendable_share = 0.25;
+  // How long after a write the withheld part is left alone.
+  Duration withhold_time = std::chrono::milliseconds(2000);
   // Part of a limit that is never granted, against errors of counting.
   double reserve = 0.01;
   // Longest time that spending stays unreported.
@@ -102,8 +102,8 @@
 // An earlier incarnation on this VM, whose grants a write charges.
 struct PrepaidClosing {
   Incarnation dead;
-  // Its locked part is proven unspent and goes back.
-  bool lock_held = false;
+  // Its withheld part is proven unspent and goes back.
+  bool withheld_unspent = false;
   // From its last write to the start of this process.
   std::int64_t age_ms = 0;
   // What is charged as spent, of all customers.
@@ -239,10 +239,10 @@
     std::map<Incarnation, Tokens> transferred_in;
   };
 
-  // Everything idle, locked or not.
+  // Everything idle, withheld or not.
   Tokens IdleIn(const View& view, const CustomerName& customer,
                 const Account& account) const;
-  bool LockHolds(Instant now) const;
+  bool StillWithheld(Instant now) const;
   Tokens TargetIn(Instant now, const PrepaidRecord& record,
                   const PrepaidEntry& entry, const Account& account) const;
   Tokens FreeIn(const PrepaidEntry& entry) const;
@@ -257,7 +257,7 @@
   void Report(View& view) const;
   void Fold(View& view) const;
   void Adjust(Instant now, View& view) const;
-  void Lock(Instant now, View& view) const;
+  void Withhold(Instant now, View& view) const;
   void Adopt(Instant now, View view);
 
   Identity identity_;
--- a/prepaid/prepaid_record.cc
+++ b/prepaid/prepaid_record.cc
@@ -75,10 +75,10 @@
   return out;
 }
 
-Tokens LockedIn(const PrepaidSpend* spend, const CustomerName& customer) {
+Tokens WithheldIn(const PrepaidSpend* spend, const CustomerName& customer) {
   if (spend == nullptr) return 0;
   const auto it = spend->customers.find(customer);
-  return it == spend->customers.end() ? 0 : it->second.locked;
+  return it == spend->customers.end() ? 0 : it->second.withheld;
 }
 
 PrepaidSpend SpendFromJson(const Json& json) {
@@ -108,7 +108,7 @@
   for (auto& [name, entry] : customers) {
     const auto grant = entry.grants.find(dead);
     if (grant == entry.grants.end()) continue;
-    const Tokens kept = LockedIn(untouched, name);
+    const Tokens kept = WithheldIn(untouched, name);
     // Negative when it had passed on more than its grant, out of what it had
     // received; the giver's booking makes up for that.
     const Tokens charge = grant->second - kept;
@@ -167,7 +167,7 @@
 std::string EncodeSpend(const PrepaidSpend& spend) {
   Json customers = Json::object();
   for (const auto& [name, it] : spend.customers) {
-    customers[name.value] = {it.spent, it.locked};
+    customers[name.value] = {it.spent, it.withheld};
   }
   return ToCbor(Json{{"sequence", spend.sequence},
                      {"stamp", spend.stamp_ms},
--- a/prepaid/prepaid_record.h
+++ b/prepaid/prepaid_record.h
@@ -23,9 +23,9 @@
 // router had given away wasn't spent by it, and what it had received was.
 //
 // Locks. To make that charge small, most of a grant is `locked`: its holder
-// doesn't touch it before `lock_time` has passed since the `stamp` of its last
-// write, by the machine's steady clock. If the later incarnation started before
-// that, by the same clock of the same boot, the locked part is certainly
+// doesn't touch it before `withhold_time` has passed since the `stamp` of its
+// last write, by the machine's steady clock. If the later incarnation started
+// before that, by the same clock of the same boot, the locked part is certainly
 // unspent and goes back. The holder's death is proven by the restart; the clock
 // only bounds what it did before. A cut from the store outlasts the lock, and
 // then the whole grant may be spent.
@@ -70,7 +70,7 @@
 // its spending into the record, and how much of the grant it leaves alone.
 struct PrepaidSpent {
   Tokens spent = 0;
-  Tokens locked = 0;
+  Tokens withheld = 0;
 
   bool operator==(const PrepaidSpent&) const = default;
 };
--- a/prepaid/testing/ledger_test.cc
+++ b/prepaid/testing/ledger_test.cc
@@ -96,7 +96,7 @@
   const Incarnation self("vm1@1");
   PrepaidLedger ledger = Join(self.value);
   SpendTenSeconds(ledger, self);
-  const Tokens kept = ledger.Allowance(now + policy.lock_time, kCustomer);
+  const Tokens kept = ledger.Allowance(now + policy.withhold_time, kCustomer);
   BOOST_TEST(kept >= 2500);
   BOOST_TEST(kept <= 7500);
 }
@@ -111,7 +111,7 @@
   store.Serve(now, ledger, self);
   // Its part of the standing share, and the slack under which none is given
   // back.
-  const Tokens kept = ledger.Allowance(now + policy.lock_time, kCustomer);
+  const Tokens kept = ledger.Allowance(now + policy.withhold_time, kCustomer);
   BOOST_TEST(kept <= kLimit / 100 * 3 / 2);
 }
 
@@ -165,7 +165,7 @@
   Join("vm1@1");
   const Tokens locked = store.spends.at(Incarnation("vm1@1"))
                             .spend.customers.at(kCustomer)
-                            .locked;
+                            .withheld;
   const Tokens granted = store.entry().grants.at(Incarnation("vm1@1"));
   now += milliseconds(1500);
   Join("vm1@2");
--- a/relay/prepaid_store.cc
+++ b/relay/prepaid_store.cc
@@ -192,7 +192,7 @@
   for (const PrepaidClosing& it : write_.closings) {
     LogEvent(Event::kPredecessorClosed,
              {{"dead", it.dead.value},
-              {"lock", it.lock_held ? "held" : "open"},
+              {"lock", it.withheld_unspent ? "held" : "open"},
               {"age_ms", std::to_string(it.age_ms)},
               {"charged", std::to_string(it.charged)}});
   }
