--- a/prepaid/prepaid_ledger.cc
+++ b/prepaid/prepaid_ledger.cc
@@ -243,17 +243,18 @@
   Report(next);
   PrepaidWrite out;
   if (changes_record) {
-    out.closings = Join(next.record);
+    out.charged = ChargePredecessors(next.record);
     for (const auto& [it, stored] : predecessors_) {
       out.removes[it] = stored.revision;
     }
+    next.record.members.insert(self_);
     TakeLimits(next.record);
     RecordTransfers(next.record);
     Fold(next);
     Adjust(now, next);
   }
   Withhold(now, next);
-  if (leaving_) next.record.Close(self_, nullptr);
+  if (leaving_) next.record.ChargeAndRemove(self_, nullptr);
   out.leaves = leaving_;
   out.expected_spend = next.spend_revision;
   out.spend = next.spend;
@@ -269,30 +270,30 @@
 }
 
 // Earlier incarnations of this VM are dead: only one runs at a time.
-std::vector<PrepaidClosing> PrepaidLedger::Join(PrepaidRecord& record) const {
-  std::vector<PrepaidClosing> out;
+std::vector<ChargedPredecessor> PrepaidLedger::ChargePredecessors(
+    PrepaidRecord& record) const {
+  std::vector<ChargedPredecessor> out;
   for (const Incarnation& it : record.members) {
     if (it == self_ || VmOf(it) != VmOf(self_)) continue;
-    PrepaidClosing closing;
-    closing.dead = it;
+    ChargedPredecessor charged;
+    charged.dead = it;
     const auto stored = predecessors_.find(it);
     if (stored != predecessors_.end()) {
       const PrepaidSpend& spend = stored->second.spend;
-      closing.age_ms = Milliseconds(identity_.started) - spend.stamp_ms;
+      charged.age_ms = Milliseconds(identity_.started) - spend.stamp_ms;
       const bool same_clock =
           !spend.boot.empty() && spend.boot == identity_.boot;
-      const auto age = std::chrono::milliseconds(closing.age_ms);
-      closing.withheld_unspent =
-          same_clock && closing.age_ms >= 0 && age < policy_.withhold_time;
+      const auto age = std::chrono::milliseconds(charged.age_ms);
+      charged.withheld_unspent =
+          same_clock && charged.age_ms >= 0 && age < policy_.withhold_time;
     }
-    out.push_back(closing);
+    out.push_back(charged);
   }
-  for (PrepaidClosing& it : out) {
-    const PrepaidSpend* untouched =
+  for (ChargedPredecessor& it : out) {
+    const PrepaidSpend* unspent =
         it.withheld_unspent ? &predecessors_.at(it.dead).spend : nullptr;
-    it.charged = record.Close(it.dead, untouched);
+    it.charged = record.ChargeAndRemove(it.dead, unspent);
   }
-  record.members.insert(self_);
   return out;
 }
 
@@ -383,7 +384,7 @@
     accounts_[customer].unreported -= amount;
   }
   view.reported.clear();
-  const bool member = view.record.IsOpen(self_);
+  const bool member = view.record.HasMember(self_);
   if (joined_ && !member && !leaving_) fenced_ = true;
   if (leaving_ && joined_ && !member) left_ = true;
   joined_ = joined_ || member;
@@ -411,7 +412,7 @@
 }
 
 void PrepaidLedger::OnPeerSeen(const Incarnation& peer) {
-  if (base_ && joined_ && !base_->record.IsOpen(peer)) needs_read_ = true;
+  if (base_ && joined_ && !base_->record.HasMember(peer)) needs_read_ = true;
 }
 
 void PrepaidLedger::OnRead(Instant now, const PrepaidState& state) {
@@ -502,8 +503,8 @@
                                                  Tokens amount, bool all) {
   if (leaving_ || !joined_ || !limits_.contains(customer)) return std::nullopt;
   // A receiver that the record doesn't show could not be told from a dead one
-  // when the move is booked.
-  if (!base_->record.IsOpen(receiver)) return std::nullopt;
+  // when the transfer is recorded.
+  if (!base_->record.HasMember(receiver)) return std::nullopt;
   const Tokens idle = Allowance(now, customer);
   const Tokens most = all ? idle : idle / 2;
   const Tokens given = std::min(most, amount);
--- a/prepaid/prepaid_ledger.h
+++ b/prepaid/prepaid_ledger.h
@@ -26,7 +26,7 @@
 // revision, so at most one is applied; its sequence number tells which.
 //
 // Time alone never passes authority: nothing here reclaims a grant because its
-// holder has been silent (see prepaid/prepaid_record.h, Closing).
+// holder has been silent (see prepaid/prepaid_record.h, Dead members).
 //
 // Sizes. All routers together keep `standing_share` of what remains of a
 // budget, in equal parts; a router that spends much keeps `cover` of its own
@@ -100,7 +100,7 @@
 };
 
 // An earlier incarnation on this VM, whose grants a write charges.
-struct PrepaidClosing {
+struct ChargedPredecessor {
   Incarnation dead;
   // Its withheld part is proven unspent and goes back.
   bool withheld_unspent = false;
@@ -138,7 +138,7 @@
   PrepaidRecord record;
   // Accounts to be removed, and their expected revisions.
   std::map<Incarnation, std::int64_t> removes;
-  std::vector<PrepaidClosing> closings;
+  std::vector<ChargedPredecessor> charged;
 };
 
 enum class PrepaidOutcome {
@@ -251,7 +251,8 @@
   bool ReportIsDue(Instant now) const;
   bool GrantIsDue(Instant now, const CustomerName& customer) const;
   bool HasUnrecordedTransfers() const;
-  std::vector<PrepaidClosing> Join(PrepaidRecord& record) const;
+  std::vector<ChargedPredecessor> ChargePredecessors(
+      PrepaidRecord& record) const;
   void TakeLimits(PrepaidRecord& record) const;
   void RecordTransfers(PrepaidRecord& record) const;
   void Report(View& view) const;
--- a/prepaid/prepaid_record.cc
+++ b/prepaid/prepaid_record.cc
@@ -12,7 +12,7 @@
 using Json = nlohmann::json;
 
 // Incarnations as the numbers that stand for them in a stored record: with many
-// moves, their names would be most of it.
+// transfers, their names would be most of it.
 class NameTable {
  public:
   std::size_t NumberOf(const Incarnation& name) {
@@ -101,25 +101,25 @@
       [](Tokens sum, const auto& it) { return sum + it.second; });
 }
 
-Tokens PrepaidRecord::Close(const Incarnation& dead,
-                            const PrepaidSpend* untouched) {
+Tokens PrepaidRecord::ChargeAndRemove(const Incarnation& member,
+                                      const PrepaidSpend* unspent) {
   Tokens out = 0;
-  members.erase(dead);
+  members.erase(member);
   for (auto& [name, entry] : customers) {
-    const auto grant = entry.grants.find(dead);
+    const auto grant = entry.grants.find(member);
     if (grant == entry.grants.end()) continue;
-    const Tokens kept = WithheldIn(untouched, name);
+    const Tokens returned = WithheldIn(unspent, name);
     // Negative when it had passed on more than its grant, out of what it had
-    // received; the giver's booking makes up for that.
-    const Tokens charge = grant->second - kept;
+    // received; the giver's record of that transfer makes up for it.
+    const Tokens charge = grant->second - returned;
     entry.settled += charge;
     out += charge;
     entry.grants.erase(grant);
   }
-  // Moves between two that are both closed have no one left to book them.
+  // Transfers between two that are both gone have no one left to record them.
   for (auto& [name, entry] : customers) {
     std::erase_if(entry.transferred, [&](const auto& it) {
-      return !IsOpen(it.first.giver) && !IsOpen(it.first.receiver);
+      return !HasMember(it.first.giver) && !HasMember(it.first.receiver);
     });
   }
   return out;
@@ -132,13 +132,14 @@
   const Tokens amount = total - known;
   if (amount <= 0) return;
   known = total;
-  // A closed side's grant was charged, so the charge takes its place.
-  if (IsOpen(pair.giver)) {
+  // The grant of a side that is gone was charged, so the charge takes its
+  // place.
+  if (HasMember(pair.giver)) {
     entry.grants[pair.giver] -= amount;
   } else {
     entry.settled -= amount;
   }
-  if (IsOpen(pair.receiver)) {
+  if (HasMember(pair.receiver)) {
     entry.grants[pair.receiver] += amount;
   } else {
     entry.settled += amount;
--- a/prepaid/prepaid_record.h
+++ b/prepaid/prepaid_record.h
@@ -1,34 +1,44 @@
 // The prepaid record and the spend accounts: what the store keeps about all
 // customers' budgets.
 //
+//   auto record = DecodePrepaid(bytes);            // empty: not a record
+//   record->RecordTransfer(customer, {giver, receiver}, total);
+//   const Tokens charged = record->ChargeAndRemove(dead, nullptr);
+//   store(EncodePrepaid(*record));
+//
 // As in ledger/record.h, in every stored revision and for each customer
 //
 //     settled + sum of grants <= limit
 //
-// and a router spends only from its grant (escrow). New here:
+// and a router spends only from its grant (escrow: O'Neil 1986; bounded
+// counters: Balegas et al. 2015). Beyond ledger/record.h:
 //
 // Spend accounts. What a router has spent of its grants lies in a key of its
 // own, `PrepaidSpend`, so that frequent reports of many routers don't contend
-// for the record. A router folds its spending into `settled` when it writes the
-// record for another reason, in the same transaction.
+// for the record. A router merges its spending into `settled` when it writes
+// the record for another reason, in the same transaction.
+//
+// Transfers. While the store is away, routers transfer unused grant among
+// themselves. `transferred` counts, for each giver and receiver, how much of it
+// the record shows: a running total, so that either side may record it, in any
+// order, any number of times, and it counts once.
 //
-// Moves. While the store is away, routers move unused grant among themselves.
-// `moved` counts, for each giver and receiver, how much of it the record knows:
-// a running total, so that either side may book it, in any order, any number
-// of times, and it counts once.
+// Dead members. A later incarnation on the same VM proves that the earlier one
+// is dead. Its grant is then charged as spent, since nobody else knows how much
+// of it was. Transfers that are recorded afterwards correct the charge: what
+// the dead router had passed on wasn't spent by it, and what it had received
+// was.
 //
-// Closing. A later incarnation on the same VM proves that the earlier one is
-// dead. Closing it charges its grant as spent, since nobody else knows how much
-// of it was. Moves that are booked afterwards correct the charge: what the dead
-// router had given away wasn't spent by it, and what it had received was.
+// Withheld parts. To make that charge small, most of a grant is withheld: its
+// holder doesn't touch it before `withhold_time` has passed since the stamp of
+// its last write, by the machine's steady clock. If the later incarnation
+// started before that, by the same clock of the same boot, the withheld part is
+// certainly unspent and goes back. The holder's death is proven by the restart;
+// the clock only bounds what it did before. A cut from the store outlasts that
+// time, and then the whole grant may be spent.
 //
-// Locks. To make that charge small, most of a grant is `locked`: its holder
-// doesn't touch it before `withhold_time` has passed since the `stamp` of its
-// last write, by the machine's steady clock. If the later incarnation started
-// before that, by the same clock of the same boot, the locked part is certainly
-// unspent and goes back. The holder's death is proven by the restart; the clock
-// only bounds what it did before. A cut from the store outlasts the lock, and
-// then the whole grant may be spent.
+// Owns the stored forms (CBOR). Units: tokens; milliseconds of the steady clock
+// in `stamp_ms`. Bytes that are something else decode to nothing.
 
 #ifndef QUAYTRACK_PREPAID_PREPAID_RECORD_H_
 #define QUAYTRACK_PREPAID_PREPAID_RECORD_H_
@@ -66,7 +76,7 @@
   bool operator==(const PrepaidEntry&) const = default;
 };
 
-// What one router has spent of its grant for a customer since it last folded
+// What one router has spent of its grant for a customer since it last merged
 // its spending into the record, and how much of the grant it leaves alone.
 struct PrepaidSpent {
   Tokens spent = 0;
@@ -90,18 +100,19 @@
 
 struct PrepaidRecord {
   std::map<CustomerName, PrepaidEntry> customers;
-  // The routers that take part.
+  // The routers that keep grants.
   std::set<Incarnation> members;
 
-  bool IsOpen(const Incarnation& it) const { return members.contains(it); }
+  bool HasMember(const Incarnation& it) const { return members.contains(it); }
 
-  // Charges the grants of a dead router, and forgets it. `untouched`: its spend
-  // account, if it is proven not to have touched what was locked; else null.
-  // Returns the sum charged.
-  Tokens Close(const Incarnation& dead, const PrepaidSpend* untouched);
+  // Charges the grants of a member that is dead or leaves, and removes it.
+  // `unspent`: its spend account, if it is proven not to have touched what it
+  // withheld; else null. Returns the sum charged.
+  Tokens ChargeAndRemove(const Incarnation& member,
+                         const PrepaidSpend* unspent);
 
-  // Raises the known total of moves from `giver` to `receiver`; no effect if
-  // it isn't above what is known.
+  // Raises the running total of transfers from `giver` to `receiver`; no effect
+  // if it isn't above what is shown.
   void RecordTransfer(const CustomerName& customer, const TransferPair& pair,
                       Tokens total);
 
--- a/prepaid/testing/record_test.cc
+++ b/prepaid/testing/record_test.cc
@@ -65,7 +65,7 @@
 // What the dead one had passed on wasn't spent by it.
 BOOST_AUTO_TEST_CASE(AMoveBookedAfterADeathCorrectsTheCharge) {
   PrepaidRecord record = Record();
-  BOOST_TEST(record.Close(kOne, nullptr) == 250);
+  BOOST_TEST(record.ChargeAndRemove(kOne, nullptr) == 250);
   PrepaidEntry& entry = record.customers[kCustomer];
   BOOST_TEST(entry.settled == 450);
   BOOST_TEST(!record.members.contains(kOne));
@@ -78,7 +78,7 @@
   PrepaidRecord record = Record();
   PrepaidSpend spend;
   spend.customers[kCustomer] = {0, 200};
-  BOOST_TEST(record.Close(kOne, &spend) == 50);
+  BOOST_TEST(record.ChargeAndRemove(kOne, &spend) == 50);
   BOOST_TEST(record.customers[kCustomer].settled == 250);
   BOOST_TEST(record.customers[kCustomer].Free() == 600);
 }
--- a/relay/prepaid_store.cc
+++ b/relay/prepaid_store.cc
@@ -156,7 +156,7 @@
   ledger_.OnWritten(clock_.Now(), OutcomeOf(written.end), written.revision);
   if (written.end == StoreEnd::kRejected) OnRejected(written.present);
   if (written.end == StoreEnd::kDone) {
-    LogClosings();
+    LogCharged();
     LogWritten(written.revision);
     on_.ledger_changed();
   }
@@ -188,8 +188,8 @@
   on_.reachable(reachable);
 }
 
-void PrepaidStore::LogClosings() const {
-  for (const PrepaidClosing& it : write_.closings) {
+void PrepaidStore::LogCharged() const {
+  for (const ChargedPredecessor& it : write_.charged) {
     LogEvent(Event::kPredecessorClosed,
              {{"dead", it.dead.value},
               {"lock", it.withheld_unspent ? "held" : "open"},
--- a/relay/prepaid_store.h
+++ b/relay/prepaid_store.h
@@ -64,7 +64,7 @@
   void OnWritten(const StoreWritten& written);
   void OnRejected(const std::vector<StoreItem>& present);
   void SetReachable(bool reachable);
-  void LogClosings() const;
+  void LogCharged() const;
   void LogWritten(std::int64_t revision) const;
 
   Loop& loop_;
