--- a/prepaid/prepaid_ledger.cc
+++ b/prepaid/prepaid_ledger.cc
@@ -148,11 +148,11 @@
       static_cast<double>(std::max<Tokens>(0, entry.limit - entry.settled));
   const auto members =
       static_cast<double>(std::max<std::size_t>(1, record.members.size()));
-  const double standing = remaining * policy_.standing_share / members;
+  const double baseline = remaining * policy_.baseline_share / members;
   const double rate = account.spending.PerSecond(now);
-  const double cover =
-      std::min(rate * ToSeconds(policy_.cover), remaining * policy_.most_share);
-  return static_cast<Tokens>(std::max(standing, cover));
+  const double headroom = std::min(rate * ToSeconds(policy_.headroom),
+                                   remaining * policy_.most_headroom_share);
+  return static_cast<Tokens>(std::max(baseline, headroom));
 }
 
 // The grant itself is too small or too large; a withheld part that leaves too
@@ -172,8 +172,8 @@
     if (idle < waiting) return true;
     if (idle < target * kLowWater && since >= policy_.spacing) return true;
   }
-  const bool rich = idle > target * kHighWater;
-  return rich && since >= policy_.report_every;
+  const bool high = idle > target * kHighWater;
+  return high && since >= policy_.report_every;
 }
 
 bool PrepaidLedger::HasUnrecordedTransfers() const {
@@ -240,7 +240,7 @@
   next.spend.sequence = ++sequence_;
   next.spend.stamp_ms = Milliseconds(now);
   next.spend.boot = identity_.boot;
-  Report(next);
+  ReportSpending(next);
   PrepaidWrite out;
   if (changes_record) {
     out.charged = ChargePredecessors(next.record);
@@ -248,10 +248,10 @@
       out.removes[it] = stored.revision;
     }
     next.record.members.insert(self_);
-    TakeLimits(next.record);
+    ApplyLimits(next.record);
     RecordTransfers(next.record);
-    Fold(next);
-    Adjust(now, next);
+    MergeSpending(next);
+    ResizeGrants(now, next);
   }
   Withhold(now, next);
   if (leaving_) next.record.ChargeAndRemove(self_, nullptr);
@@ -297,7 +297,7 @@
   return out;
 }
 
-void PrepaidLedger::TakeLimits(PrepaidRecord& record) const {
+void PrepaidLedger::ApplyLimits(PrepaidRecord& record) const {
   for (const auto& [customer, limit] : limits_) {
     PrepaidEntry& entry = record.customers[customer];
     if (entry.limit_version >= limits_version_) continue;
@@ -317,7 +317,7 @@
   }
 }
 
-void PrepaidLedger::Report(View& view) const {
+void PrepaidLedger::ReportSpending(View& view) const {
   view.reported.clear();
   for (const auto& [customer, account] : accounts_) {
     if (account.unreported == 0) continue;
@@ -326,8 +326,8 @@
   }
 }
 
-// Moves what was spent from the own account into the record.
-void PrepaidLedger::Fold(View& view) const {
+// From the account into the record, where it is settled and off the grant.
+void PrepaidLedger::MergeSpending(View& view) const {
   for (auto& [customer, it] : view.spend.customers) {
     if (it.spent == 0) continue;
     PrepaidEntry& entry = view.record.customers[customer];
@@ -338,7 +338,7 @@
 }
 
 // Brings each part near its target. What is held stays granted.
-void PrepaidLedger::Adjust(Instant now, View& view) const {
+void PrepaidLedger::ResizeGrants(Instant now, View& view) const {
   for (const auto& [customer, limit] : limits_) {
     PrepaidEntry& entry = view.record.customers[customer];
     const Account& account = AccountOf(customer);
--- a/prepaid/prepaid_ledger.h
+++ b/prepaid/prepaid_ledger.h
@@ -28,8 +28,8 @@
 // Time alone never passes authority: nothing here reclaims a grant because its
 // holder has been silent (see prepaid/prepaid_record.h, Dead members).
 //
-// Sizes. All routers together keep `standing_share` of what remains of a
-// budget, in equal parts; a router that spends much keeps `cover` of its own
+// Sizes. All routers together keep `baseline_share` of what remains of a
+// budget, in equal parts; a router that spends much keeps `headroom` of its own
 // spending if that is more. An outage comes unannounced, and what is kept is
 // charged when all power is lost: docs/design/prepaid.md has the figures.
 
@@ -52,11 +52,11 @@
 
 struct PrepaidPolicy {
   // Part of what remains of a budget that all routers together keep granted.
-  double standing_share = 0.3;
-  // What a router keeps covers its own spending of this long, if that is more
-  // than its part of the standing share, up to `most_share` of what remains.
-  Duration cover = std::chrono::seconds(5);
-  double most_share = 0.6;
+  double baseline_share = 0.3;
+  // A router keeps its own spending of this long, if that is more than its part
+  // of the baseline share, up to `most_headroom_share` of what remains.
+  Duration headroom = std::chrono::seconds(5);
+  double most_headroom_share = 0.6;
   // Part of a router's own target that isn't withheld.
   double spendable_share = 0.25;
   // How long after a write the withheld part is left alone.
@@ -253,11 +253,11 @@
   bool HasUnrecordedTransfers() const;
   std::vector<ChargedPredecessor> ChargePredecessors(
       PrepaidRecord& record) const;
-  void TakeLimits(PrepaidRecord& record) const;
+  void ApplyLimits(PrepaidRecord& record) const;
   void RecordTransfers(PrepaidRecord& record) const;
-  void Report(View& view) const;
-  void Fold(View& view) const;
-  void Adjust(Instant now, View& view) const;
+  void ReportSpending(View& view) const;
+  void MergeSpending(View& view) const;
+  void ResizeGrants(Instant now, View& view) const;
   void Withhold(Instant now, View& view) const;
   void Adopt(Instant now, View view);
 
--- a/prepaid/testing/ledger_test.cc
+++ b/prepaid/testing/ledger_test.cc
@@ -52,7 +52,7 @@
   Instant now{std::chrono::hours(1)};
   Store store;
 
-  PrepaidPolicy policy = {.standing_share = 0.55};
+  PrepaidPolicy policy = {.baseline_share = 0.55};
 
   PrepaidLedger Make(const std::string& self, const std::string& boot = "b") {
     PrepaidLedger out({Incarnation(self), boot, now}, policy);
@@ -91,8 +91,8 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(WhatIsKeptCoversTheOwnSpending, Fixture) {
-  policy.standing_share = 0.01;
-  policy.cover = std::chrono::seconds(10);
+  policy.baseline_share = 0.01;
+  policy.headroom = std::chrono::seconds(10);
   const Incarnation self("vm1@1");
   PrepaidLedger ledger = Join(self.value);
   SpendTenSeconds(ledger, self);
@@ -102,14 +102,14 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(WhatIsKeptFadesWithTheSpending, Fixture) {
-  policy.standing_share = 0.01;
-  policy.cover = std::chrono::seconds(10);
+  policy.baseline_share = 0.01;
+  policy.headroom = std::chrono::seconds(10);
   const Incarnation self("vm1@1");
   PrepaidLedger ledger = Join(self.value);
   SpendTenSeconds(ledger, self);
   now += std::chrono::seconds(30);
   store.Serve(now, ledger, self);
-  // Its part of the standing share, and the slack under which none is given
+  // Its part of the baseline share, and the slack under which none is given
   // back.
   const Tokens kept = ledger.Allowance(now + policy.withhold_time, kCustomer);
   BOOST_TEST(kept <= kLimit / 100 * 3 / 2);
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -50,8 +50,8 @@
 
 PrepaidPolicy PolicyOf(const RelaySettings& settings) {
   PrepaidPolicy out;
-  out.standing_share = settings.standing_share;
-  out.cover = settings.cover;
+  out.baseline_share = settings.standing_share;
+  out.headroom = settings.cover;
   return out;
 }
 
