--- a/prepaid/prepaid_ledger.cc
+++ b/prepaid/prepaid_ledger.cc
@@ -227,7 +227,7 @@
 }
 
 std::optional<PrepaidWrite> PrepaidLedger::NextWrite(Instant now) {
-  const bool blocked = !takes_part_ || in_flight_ || needs_read_ || left_ ||
+  const bool blocked = !keeps_grants_ || in_flight_ || needs_read_ || left_ ||
                        fenced_ || now < not_before_ || limits_version_ == 0;
   if (blocked || !base_) return std::nullopt;
   const bool urgent = leaving_ || !joined_;
@@ -396,7 +396,7 @@
 }
 
 bool PrepaidLedger::NeedsRead(Instant now) const {
-  if (base_ && !takes_part_) return false;
+  if (base_ && !keeps_grants_) return false;
   if (needs_read_ || !base_) return !in_flight_;
   if (in_flight_ || now < not_before_) return false;
   const Duration age = now - record_seen_;
@@ -423,7 +423,7 @@
   next.record = state.record;
   predecessors_ = state.spends;
   for (const Incarnation& it : state.record.members) {
-    if (VmOf(it) == VmOf(self_)) takes_part_ = true;
+    if (VmOf(it) == VmOf(self_)) keeps_grants_ = true;
   }
   const auto self = state.spends.find(self_);
   if (self != state.spends.end()) {
--- a/prepaid/prepaid_ledger.h
+++ b/prepaid/prepaid_ledger.h
@@ -163,8 +163,8 @@
 
   // Joins the record. Until then a ledger reads it once, and writes nothing,
   // unless the record shows an earlier incarnation of this VM.
-  void TakePart() { takes_part_ = true; }
-  bool TakesPart() const { return takes_part_; }
+  void KeepGrants() { keeps_grants_ = true; }
+  bool KeepsGrants() const { return keeps_grants_; }
 
   // The budgets of a newer configuration. A customer that has none may spend
   // freely.
@@ -182,7 +182,7 @@
   void SetWaiting(const CustomerName& customer, Tokens amount);
 
   bool NeedsRead(Instant now) const;
-  // Another router takes part; the record is read if it doesn't show it.
+  // Another router keeps grants; the record is read if it doesn't show it.
   void OnPeerSeen(const Incarnation& peer);
   void OnRead(Instant now, const PrepaidState& state);
   void OnReadFailed(Instant now);
@@ -202,10 +202,10 @@
   void OnTransfer(const CustomerName& customer, const Incarnation& giver,
                   Tokens total);
 
-  // Returns everything at the next write and takes part no more.
+  // Returns everything at the next write and keeps grants no more.
   void StartLeaving() {
     leaving_ = true;
-    left_ = left_ || !takes_part_;
+    left_ = left_ || !keeps_grants_;
   }
   bool HasLeft() const { return left_; }
 
@@ -277,7 +277,7 @@
   // The write in flight changes the record too.
   bool last_changed_record_ = false;
   bool needs_read_ = true;
-  bool takes_part_ = false;
+  bool keeps_grants_ = false;
   bool joined_ = false;
   bool leaving_ = false;
   bool left_ = false;
--- a/prepaid/testing/property_test.cc
+++ b/prepaid/testing/property_test.cc
@@ -112,7 +112,7 @@
     const std::string boot = known ? "boot-" + name : "";
     PrepaidLedger::Identity identity{it.self, boot, now_};
     it.ledger = std::make_unique<PrepaidLedger>(identity, PrepaidPolicy());
-    it.ledger->TakePart();
+    it.ledger->KeepGrants();
     it.ledger->SetLimits(1, {{kCustomer, kLimit}});
   }
 
--- a/relay/budget_driver.cc
+++ b/relay/budget_driver.cc
@@ -101,8 +101,8 @@
 }
 
 void BudgetDriver::TakePartIfHolder() {
-  if (ledger_.TakesPart() || !fleet_.IsHolder(VmOf(self_))) return;
-  ledger_.TakePart();
+  if (ledger_.KeepsGrants() || !fleet_.IsHolder(VmOf(self_))) return;
+  ledger_.KeepGrants();
   store_.RunCycleSoon();
 }
 
@@ -117,7 +117,7 @@
   if (!ledger_.IsLimited(request->customer())) return PrepaidVerdict::kHeld;
   // Requests that come before the list of routers has settled don't wait.
   TakePartIfHolder();
-  if (ledger_.TakesPart()) return HoldFromGrant(request);
+  if (ledger_.KeepsGrants()) return HoldFromGrant(request);
   AskHolders(request);
   return PrepaidVerdict::kShort;
 }
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -143,7 +143,7 @@
   out.describe = [this](PeerMessage& it) {
     it.config_version = configs_.version();
     it.targets_revision = configs_.targets_revision();
-    it.keeps_budgets = budgets_.ledger().TakesPart();
+    it.keeps_budgets = budgets_.ledger().KeepsGrants();
     if (it.kind != PeerMessageKind::kHello) return;
     it.hall = fleet_.directory().self().hall;
     it.address = fleet_.directory().self().address;
