--- a/prepaid/testing/ledger_test.cc
+++ b/prepaid/testing/ledger_test.cc
@@ -152,6 +152,22 @@
   BOOST_TEST(ledger.Allowance(now, kCustomer) >= before + 5000);
 }
 
+BOOST_FIXTURE_TEST_CASE(AnUnansweredReturnCountsAtOnce, Fixture) {
+  const Incarnation self("vm1@1");
+  PrepaidLedger ledger = Join(self.value);
+  Join("vm2@1");
+  now += milliseconds(1000);
+  store.Read(now, ledger);
+  const auto write = ledger.NextWrite(now);
+  BOOST_REQUIRE(write.has_value());
+  const Tokens less = write->record.customers.at(kCustomer).grants.at(self);
+  BOOST_TEST(less < store.entry().grants.at(self));
+  const Instant later = now + policy.withhold_time;
+  BOOST_TEST(ledger.Allowance(later, kCustomer) == less);
+  ledger.OnWritten(now, PrepaidOutcome::kUnknown, 0);
+  BOOST_TEST(ledger.Allowance(later, kCustomer) == less);
+}
+
 BOOST_FIXTURE_TEST_CASE(OnlyWhatCanNeverFitIsExhausted, Fixture) {
   PrepaidLedger one = Join("vm1@1");
   PrepaidLedger other = Join("vm2@1");
@@ -161,6 +177,61 @@
       (other.Hold(now, CustomerName("free"), 99500) == PrepaidVerdict::kHeld));
 }
 
+// What a router asks for is what it holds already and what is to come.
+BOOST_FIXTURE_TEST_CASE(WhatIsHeldCountsAgainstTheBudget, Fixture) {
+  PrepaidLedger ledger = Join("vm1@1");
+  BOOST_TEST((ledger.Hold(now, kCustomer, 97000) == PrepaidVerdict::kShort));
+  BOOST_TEST((ledger.Hold(now, kCustomer, 3000) == PrepaidVerdict::kHeld));
+  BOOST_TEST(
+      (ledger.Hold(now, kCustomer, 97000) == PrepaidVerdict::kExhausted));
+  ledger.Settle(now, kCustomer, 3000, 0);
+  BOOST_TEST((ledger.Hold(now, kCustomer, 97000) == PrepaidVerdict::kShort));
+}
+
+BOOST_FIXTURE_TEST_CASE(TheReserveIsNeverGranted, Fixture) {
+  PrepaidLedger ledger = Join("vm1@1");
+  ledger.SetWaiting(kCustomer, kLimit);
+  now += milliseconds(20);
+  store.Serve(now, ledger, Incarnation("vm1@1"));
+  BOOST_TEST(store.entry().Outstanding() == kLimit * 99 / 100);
+}
+
+BOOST_FIXTURE_TEST_CASE(AnOlderConfigurationChangesNoLimit, Fixture) {
+  PrepaidLedger ledger = Join("vm1@1");
+  ledger.SetLimits(3, {{kCustomer, kLimit / 2}});
+  ledger.SetLimits(2, {{kCustomer, kLimit}});
+  BOOST_TEST(
+      (ledger.Hold(now, kCustomer, 60000) == PrepaidVerdict::kExhausted));
+  now += milliseconds(500);
+  store.Serve(now, ledger, Incarnation("vm1@1"));
+  BOOST_TEST(store.entry().limit == kLimit / 2);
+  // A router that has not heard of the newer configuration leaves it alone.
+  Join("vm2@1");
+  BOOST_TEST(store.record.members.size() == 2U);
+  BOOST_TEST(store.entry().limit == kLimit / 2);
+  BOOST_TEST(store.entry().limit_version == 3U);
+}
+
+BOOST_FIXTURE_TEST_CASE(ANewLimitIsWrittenByItself, Fixture) {
+  PrepaidLedger ledger = Join("vm1@1");
+  ledger.SetLimits(2, {{kCustomer, kLimit + 500}});
+  now += milliseconds(500);
+  store.Serve(now, ledger, Incarnation("vm1@1"));
+  BOOST_TEST(store.entry().limit == kLimit + 500);
+}
+
+// 55,000 are granted, of which 40,000 are held; the rest is no surplus by its
+// size, but the budget doesn't hold it any more.
+BOOST_FIXTURE_TEST_CASE(ALoweredLimitTakesBackWhatIsIdle, Fixture) {
+  PrepaidLedger ledger = Join("vm1@1");
+  now += policy.withhold_time;
+  BOOST_TEST((ledger.Hold(now, kCustomer, 40000) == PrepaidVerdict::kHeld));
+  ledger.SetLimits(2, {{kCustomer, 41000}});
+  store.Serve(now, ledger, Incarnation("vm1@1"));
+  BOOST_TEST(store.entry().limit == 41000);
+  BOOST_TEST(store.entry().Outstanding() == 41000);
+}
+
 BOOST_FIXTURE_TEST_CASE(ASuccessorTakesBackWhatWasLocked, Fixture) {
   Join("vm1@1");
   const Tokens locked = store.spends.at(Incarnation("vm1@1"))
