--- a/base/rate.h
+++ b/base/rate.h
@@ -1,8 +1,13 @@
-// An exponentially decaying rate: units per second over the last `tau`.
+// DecayingRate: how fast something has happened of late, in units a second.
 //
-//   DecayingRate rate(30s);
+//   DecayingRate rate(std::chrono::seconds(30));
 //   rate.Add(now, 120);
 //   rate.PerSecond(now);
+//
+// What happened `tau` ago counts for 1/e of what happens now, so that a burst
+// fades by itself, also while nothing is added. It keeps two numbers, whatever
+// the rate. `now` is the caller's clock; a time before the latest one counts as
+// the latest.
 
 #ifndef QUAYTRACK_BASE_RATE_H_
 #define QUAYTRACK_BASE_RATE_H_
