--- a/prepaid/testing/property_test.cc
+++ b/prepaid/testing/property_test.cc
@@ -1,7 +1,7 @@
 // Random histories of routers that share one prepaid budget: kills, restarts of
 // the same boot or another, frozen routers, cuts, writes whose answers are lost
-// or that are done late, moves that are lost, doubled and reordered. A book of
-// what the engines handed out is kept beside; it must never pass the limit.
+// or that are done late, transfers that are lost, doubled and reordered. A book
+// of what the engines handed out is kept beside; it must never pass the limit.
 
 #include <rapidcheck.h>
 
@@ -28,7 +28,7 @@
   Tokens held = 0;
 };
 
-struct Move {
+struct Transfer {
   Incarnation giver;
   Incarnation receiver;
   Tokens total = 0;
@@ -48,7 +48,7 @@
 };
 
 // What is done wrong on purpose, to see that the book notices.
-enum class Fault { kNone, kSpendsLocked, kReclaimsByTime };
+enum class Fault { kNone, kSpendsWithheld, kReclaimsByTime };
 
 class World {
  public:
@@ -79,11 +79,11 @@
       it.cut = false;
       while (!it.running.empty()) Finish(it, it.running.size() - 1);
     }
-    moves_.clear();
+    transfers_.clear();
     late_.clear();
     for (int n = 0; n < 200; ++n) {
       now_ += milliseconds(100);
-      for (Router& it : routers_) Pump(it, true);
+      for (Router& it : routers_) RunCycle(it, true);
     }
     const PrepaidEntry& entry = record_.customers[kCustomer];
     Tokens charged = entry.settled;
@@ -127,13 +127,13 @@
       case 3:
         return Ask();
       case 4:
-        return DeliverMove();
+        return DeliverTransfer();
       case 5:
       case 6:
         return FinishAny();
       case 7:
       case 8:
-        return Pump(Any(), false);
+        return RunCycle(Any(), false);
       default:
         return Start();
     }
@@ -170,13 +170,13 @@
   void Kill() {
     const int vm = Draw(0, kVms - 1);
     Router& it = routers_[static_cast<std::size_t>(vm)];
-    Pump(it, false);
+    RunCycle(it, false);
     for (int n = Draw(0, 8); n > 0; --n) StartAt(it);
     for (const Request& request : it.running) {
       handed_out_ += request.held;
     }
-    // As if the lock had run out.
-    const bool wrong = fault_ == Fault::kSpendsLocked;
+    // As if the withheld part were free to be spent.
+    const bool wrong = fault_ == Fault::kSpendsWithheld;
     const Instant later = now_ + std::chrono::hours(1);
     if (wrong) handed_out_ += it.ledger->Allowance(later, kCustomer);
     now_ += milliseconds(Draw(100, 1500));
@@ -191,24 +191,24 @@
         now_, kCustomer, asker.self, Draw(100, 4000), Draw(0, 1) == 0);
     if (!total) return;
     if (Draw(0, 4) == 0) return;  // lost
-    moves_.push_back({giver.self, asker.self, *total});
-    if (Draw(0, 4) == 0) moves_.push_back(moves_.back());
+    transfers_.push_back({giver.self, asker.self, *total});
+    if (Draw(0, 4) == 0) transfers_.push_back(transfers_.back());
   }
 
-  void DeliverMove() {
-    if (moves_.empty()) return;
-    const auto at =
-        static_cast<std::size_t>(Draw(0, static_cast<int>(moves_.size()) - 1));
-    const Move move = moves_[at];
-    moves_.erase(moves_.begin() + static_cast<std::ptrdiff_t>(at));
+  void DeliverTransfer() {
+    if (transfers_.empty()) return;
+    const auto at = static_cast<std::size_t>(
+        Draw(0, static_cast<int>(transfers_.size()) - 1));
+    const Transfer transfer = transfers_[at];
+    transfers_.erase(transfers_.begin() + static_cast<std::ptrdiff_t>(at));
     for (Router& it : routers_) {
       // A message goes to an address; a later incarnation takes no notice.
-      if (it.self != move.receiver) continue;
-      it.ledger->OnTransfer(kCustomer, move.giver, move.total);
+      if (it.self != transfer.receiver) continue;
+      it.ledger->OnTransfer(kCustomer, transfer.giver, transfer.total);
     }
   }
 
-  void Pump(Router& it, bool calm) {
+  void RunCycle(Router& it, bool calm) {
     if (it.ledger->Fenced()) return;
     if (it.ledger->NeedsRead(now_)) {
       if (it.cut) return it.ledger->OnReadFailed(now_);
@@ -305,7 +305,7 @@
   Fault fault_;
   Instant now_{std::chrono::hours(1)};
   std::vector<Router> routers_;
-  std::vector<Move> moves_;
+  std::vector<Transfer> transfers_;
   std::vector<LateWrite> late_;
   PrepaidRecord record_;
   std::int64_t record_revision_ = 0;
@@ -335,7 +335,7 @@
 
 BOOST_AUTO_TEST_CASE(TheBookNoticesALockThatIsNotKept) {
   BOOST_TEST(Overspent(Fault::kNone) == 0);
-  BOOST_TEST(Overspent(Fault::kSpendsLocked) > 0);
+  BOOST_TEST(Overspent(Fault::kSpendsWithheld) > 0);
 }
 
 BOOST_AUTO_TEST_CASE(TheBookNoticesGrantsReclaimedByTime) {
