--- a/prepaid/prepaid_policy.h
+++ b/prepaid/prepaid_policy.h
@@ -55,7 +55,8 @@
   Duration spacing = std::chrono::milliseconds(400);
   // The same while a request waits for a grant. df506c1; not measured.
   Duration urgent_spacing = std::chrono::milliseconds(10);
-  // Pause after a call that the store didn't answer. df506c1; not measured.
+  // Pause before the next write, and before a read that is due by age alone,
+  // after a call that the store didn't answer. df506c1; not measured.
   Duration retry_after_failure = std::chrono::milliseconds(300);
 
   // --- Times of reads --------------------------------------------------------
