--- a/prepaid/testing/ledger_test.cc
+++ b/prepaid/testing/ledger_test.cc
@@ -115,6 +115,17 @@
   BOOST_TEST(kept <= kLimit / 100 * 3 / 2);
 }
 
+BOOST_FIXTURE_TEST_CASE(OwnSpendingKeepsAtMostItsShare, Fixture) {
+  policy.baseline_share = 0.01;
+  policy.headroom = std::chrono::seconds(1000);
+  const Incarnation self("vm1@1");
+  PrepaidLedger ledger = Join(self.value);
+  SpendTenSeconds(ledger, self);
+  const Tokens kept = ledger.Allowance(now + policy.withhold_time, kCustomer);
+  BOOST_TEST(kept > kLimit / 5);
+  BOOST_TEST(kept <= kLimit * 6 / 10);
+}
+
 BOOST_FIXTURE_TEST_CASE(ARejectedWriteIsDueAtOnce, Fixture) {
   PrepaidLedger ledger = Join("vm1@1");
   BOOST_TEST((ledger.Hold(now, kCustomer, 100) == PrepaidVerdict::kHeld));
@@ -168,6 +179,68 @@
   BOOST_TEST(ledger.Allowance(later, kCustomer) == less);
 }
 
+// The account has not changed, so the write may still be done.
+BOOST_FIXTURE_TEST_CASE(AReadOfTheSameAccountConfirmsNoWrite, Fixture) {
+  const Incarnation self("vm1@1");
+  PrepaidLedger ledger = Join(self.value);
+  Join("vm2@1");
+  now += milliseconds(1000);
+  store.Read(now, ledger);
+  const auto write = ledger.NextWrite(now);
+  BOOST_REQUIRE(write.has_value());
+  ledger.OnWritten(now, PrepaidOutcome::kUnknown, 0);
+  store.Read(now, ledger);
+  const Tokens less = write->record.customers.at(kCustomer).grants.at(self);
+  BOOST_TEST(less < store.entry().grants.at(self));
+  BOOST_TEST(ledger.Allowance(now + policy.withhold_time, kCustomer) == less);
+}
+
+// A write that certainly didn't happen leaves the withheld part as it was: it
+// is free 2 s after the write before.
+BOOST_FIXTURE_TEST_CASE(AWriteThatDidntHappenWithholdsNothing, Fixture) {
+  const PrepaidOutcome outcomes[] = {PrepaidOutcome::kRejected,
+                                     PrepaidOutcome::kRefused};
+  for (const PrepaidOutcome outcome : outcomes) {
+    store = {};
+    PrepaidLedger ledger = Join("vm1@1");
+    const Instant free = now + policy.withhold_time;
+    const Tokens all = store.entry().grants.at(Incarnation("vm1@1"));
+    BOOST_TEST((ledger.Hold(now, kCustomer, 100) == PrepaidVerdict::kHeld));
+    ledger.Settle(now, kCustomer, 100, 100);
+    now += policy.report_every;
+    BOOST_REQUIRE(ledger.NextWrite(now).has_value());
+    ledger.OnWritten(now, outcome, 0);
+    BOOST_TEST(ledger.Allowance(free, kCustomer) == all - 100);
+  }
+}
+
+BOOST_FIXTURE_TEST_CASE(TheRecordIsReadAnewByItsAge, Fixture) {
+  PrepaidLedger ledger = Join("vm1@1");
+  BOOST_TEST(!ledger.NeedsRead(now + milliseconds(5999)));
+  BOOST_TEST(ledger.NeedsRead(now + milliseconds(6000)));
+  ledger.SetWaiting(kCustomer, kLimit);
+  BOOST_TEST(!ledger.NeedsRead(now + milliseconds(399)));
+  BOOST_TEST(ledger.NeedsRead(now + milliseconds(400)));
+}
+
+BOOST_FIXTURE_TEST_CASE(AFailedReadIsRepeatedAfterAPause, Fixture) {
+  PrepaidLedger ledger = Join("vm1@1");
+  now += milliseconds(6000);
+  BOOST_TEST(ledger.NeedsRead(now));
+  ledger.OnReadFailed(now);
+  BOOST_TEST(!ledger.NeedsRead(now + milliseconds(299)));
+  BOOST_TEST(ledger.NeedsRead(now + milliseconds(300)));
+}
+
+BOOST_FIXTURE_TEST_CASE(ALargeFleetReadsTheRecordLessOften, Fixture) {
+  for (int n = 2; n <= 12; ++n) {
+    store.record.members.insert(Incarnation("vm" + std::to_string(n) + "@1"));
+  }
+  PrepaidLedger ledger = Join("vm1@1");
+  BOOST_TEST(!ledger.NeedsRead(now + milliseconds(8999)));
+  BOOST_TEST(ledger.NeedsRead(now + milliseconds(9000)));
+}
+
 BOOST_FIXTURE_TEST_CASE(OnlyWhatCanNeverFitIsExhausted, Fixture) {
   PrepaidLedger one = Join("vm1@1");
   PrepaidLedger other = Join("vm2@1");
@@ -244,6 +317,17 @@
   BOOST_TEST(!store.spends.contains(Incarnation("vm1@1")));
 }
 
+// Nobody else can: the others don't know that the first is dead.
+BOOST_FIXTURE_TEST_CASE(ASuccessorThatIsNoHolderChargesToo, Fixture) {
+  Join("vm1@1");
+  const Incarnation self("vm1@2");
+  PrepaidLedger ledger({self, "b", now}, policy);
+  ledger.SetLimits(1, {{kCustomer, kLimit}});
+  store.Serve(now, ledger, self);
+  BOOST_TEST(!store.record.members.contains(Incarnation("vm1@1")));
+  BOOST_TEST(store.record.members.contains(self));
+}
+
 BOOST_FIXTURE_TEST_CASE(ALateSuccessorOrAnotherBootChargesAll, Fixture) {
   Join("vm1@1");
   const Tokens first = store.entry().grants.at(Incarnation("vm1@1"));
@@ -280,6 +364,55 @@
   BOOST_TEST(store.entry().Outstanding() <= outstanding);
 }
 
+BOOST_FIXTURE_TEST_CASE(ATransferIsRecordedWithoutAnotherReason, Fixture) {
+  const Incarnation self("vm1@1");
+  const Incarnation peer("vm2@1");
+  PrepaidLedger ledger = Join(self.value);
+  Join(peer.value);
+  now += milliseconds(1000);
+  store.Read(now, ledger);
+  store.Serve(now, ledger, self);
+  BOOST_TEST(ledger.TransferOut(now, kCustomer, peer, 100, true).has_value());
+  BOOST_TEST(!ledger.NextWrite(now + milliseconds(1499)).has_value());
+  const auto write = ledger.NextWrite(now + milliseconds(1500));
+  BOOST_REQUIRE(write.has_value());
+  const PrepaidEntry& entry = write->record.customers.at(kCustomer);
+  BOOST_TEST(entry.transferred.at({self, peer}) == 100);
+}
+
+BOOST_FIXTURE_TEST_CASE(HalfIsKeptUnlessAllIsAskedFor, Fixture) {
+  PrepaidLedger ledger = Join("vm1@1");
+  const Incarnation peer("vm2@1");
+  Join(peer.value);
+  store.Read(now, ledger);
+  const Tokens idle = ledger.Allowance(now, kCustomer);
+  BOOST_TEST(ledger.TransferOut(now, kCustomer, peer, kLimit, false).value() ==
+             idle / 2);
+  BOOST_TEST(ledger.TransferOut(now, kCustomer, peer, kLimit, true).value() ==
+             idle);
+  BOOST_TEST(ledger.Allowance(now, kCustomer) == 0);
+}
+
+BOOST_FIXTURE_TEST_CASE(NothingGoesToARouterThatTheRecordDoesntShow, Fixture) {
+  PrepaidLedger ledger = Join("vm1@1");
+  const Incarnation stranger("vm9@1");
+  BOOST_TEST(
+      !ledger.TransferOut(now, kCustomer, stranger, 100, true).has_value());
+}
+
+BOOST_FIXTURE_TEST_CASE(ALeavingRouterTransfersNothingEitherWay, Fixture) {
+  PrepaidLedger ledger = Join("vm1@1");
+  const Incarnation peer("vm2@1");
+  Join(peer.value);
+  store.Read(now, ledger);
+  BOOST_TEST(ledger.TransferOut(now, kCustomer, peer, 100, true).has_value());
+  ledger.StartLeaving();
+  BOOST_TEST(!ledger.TransferOut(now, kCustomer, peer, 100, true).has_value());
+  const Tokens before = ledger.Allowance(now, kCustomer);
+  ledger.OnTransfer(kCustomer, peer, 500);
+  BOOST_TEST(ledger.Allowance(now, kCustomer) == before);
+}
+
 BOOST_FIXTURE_TEST_CASE(LeavingGivesEverythingBack, Fixture) {
   PrepaidLedger ledger = Join("vm1@1");
   BOOST_TEST((ledger.Hold(now, kCustomer, 500) == PrepaidVerdict::kHeld));
--- a/prepaid/testing/record_test.cc
+++ b/prepaid/testing/record_test.cc
@@ -83,5 +83,14 @@
   BOOST_TEST(record.customers[kCustomer].Free() == 600);
 }
 
+// No one is left to record it again, and it would stay for good.
+BOOST_AUTO_TEST_CASE(ATransferGoesWithBothItsSides) {
+  PrepaidRecord record = Record();
+  record.ChargeAndRemove(kOne, nullptr);
+  BOOST_TEST(record.customers[kCustomer].transferred.size() == 1U);
+  record.ChargeAndRemove(kTwo, nullptr);
+  BOOST_TEST(record.customers[kCustomer].transferred.empty());
+}
+
 }  // namespace
 }  // namespace quaytrack
