--- /dev/null
+++ b/relay/testing/config_follower_test.cc
@@ -0,0 +1,150 @@
+// Which configuration is taken, from the store and from peers, and when a peer
+// is asked for one.
+
+#include <boost/test/unit_test.hpp>
+
+#include "relay/config_driver.h"
+#include "relay/testing/plain_state_reader.h"
+#include "relay/testing/scripted_store.h"
+
+namespace quaytrack {
+namespace {
+
+using std::chrono::milliseconds;
+
+const Incarnation kPeer{"vm-2@1"};
+// Beyond the time that the own watch is given before a peer is asked.
+constexpr Duration kAskedBy = milliseconds(450);
+
+struct Fixture {
+  Fixture()
+      : follower(loop, store, reader,
+                 {[this] { ++taken; }, [] {},
+                  [this](const Incarnation& to, const PeerMessage& it) {
+                    BOOST_TEST((to == kPeer));
+                    told.push_back(it);
+                  }}) {
+    follower.Start();
+  }
+
+  static StoreItem Item(const std::string& value) {
+    return {"c/config", value, 1};
+  }
+  void StoreHas(const std::string& value) {
+    BOOST_TEST(store.AnswerRange("c/", {StoreEnd::kDone, 1, {Item(value)}}));
+  }
+  // Several changes in one answer.
+  void StoreShows(const std::vector<std::string>& values) {
+    StoreChanges out;
+    out.end = StoreEnd::kDone;
+    for (const std::string& it : values) {
+      out.changes.push_back({Item(it), false});
+    }
+    BOOST_TEST(store.AnswerWait("c/", out));
+  }
+  void PeerSends(const std::string& value) {
+    PeerMessage it;
+    it.kind = PeerMessageKind::kConfig;
+    it.from = kPeer;
+    it.item_key = "c/config";
+    it.item_value = value;
+    follower.OnPeer(it);
+  }
+  void PeerHasVersion(std::uint64_t version) {
+    PeerMessage it;
+    it.from = kPeer;
+    it.config_version = version;
+    follower.OnPeer(it);
+  }
+
+  Loop loop;
+  ScriptedStore store;
+  PlainStateReader reader;
+  int taken = 0;
+  std::vector<PeerMessage> told;
+  ConfigDriver follower;
+};
+
+BOOST_FIXTURE_TEST_CASE(OnlyAHigherVersionIsTakenFromTheStore, Fixture) {
+  BOOST_TEST(follower.version() == 0U);
+  StoreHas("5");
+  BOOST_TEST(follower.version() == 5U);
+  StoreShows({"4", "5"});
+  BOOST_TEST(follower.version() == 5U);
+  BOOST_TEST(taken == 1);
+  // The next wait comes a little after an answer with changes.
+  RunFor(loop, milliseconds(300));
+  StoreShows({"6"});
+  BOOST_TEST(follower.version() == 6U);
+  BOOST_TEST(taken == 2);
+}
+
+BOOST_FIXTURE_TEST_CASE(OnlyAHigherVersionIsTakenFromAPeer, Fixture) {
+  StoreHas("5");
+  PeerSends("4");
+  PeerSends("5");
+  BOOST_TEST(follower.version() == 5U);
+  BOOST_TEST(taken == 1);
+  PeerSends("7");
+  BOOST_TEST(follower.version() == 7U);
+  // A store that is behind that peer takes nothing back.
+  StoreShows({"6"});
+  BOOST_TEST(follower.version() == 7U);
+}
+
+BOOST_FIXTURE_TEST_CASE(AConfigurationThatCantBeReadIsNotTaken, Fixture) {
+  StoreHas("5");
+  StoreShows({"six"});
+  PeerSends("seven");
+  BOOST_TEST(follower.version() == 5U);
+  BOOST_TEST(taken == 1);
+}
+
+BOOST_FIXTURE_TEST_CASE(APeerThatHasANewerOneIsAsked, Fixture) {
+  StoreHas("5");
+  PeerHasVersion(6);
+  RunFor(loop, milliseconds(100));
+  // The own watch is given a moment first.
+  BOOST_TEST(told.empty());
+  RunFor(loop, kAskedBy);
+  BOOST_REQUIRE(told.size() == 1U);
+  BOOST_TEST((told[0].kind == PeerMessageKind::kConfigWanted));
+  // It may not answer, or the question may be lost.
+  PeerHasVersion(6);
+  RunFor(loop, kAskedBy);
+  BOOST_TEST(told.size() == 2U);
+}
+
+BOOST_FIXTURE_TEST_CASE(NoPeerIsAskedForWhatTheOwnWatchBrings, Fixture) {
+  StoreHas("5");
+  PeerHasVersion(6);
+  StoreShows({"6"});
+  RunFor(loop, kAskedBy);
+  BOOST_TEST(told.empty());
+}
+
+BOOST_FIXTURE_TEST_CASE(APeerThatHasNoNewerOneIsNotAsked, Fixture) {
+  StoreHas("5");
+  PeerHasVersion(5);
+  PeerHasVersion(4);
+  RunFor(loop, kAskedBy);
+  BOOST_TEST(told.empty());
+}
+
+BOOST_FIXTURE_TEST_CASE(APeerThatAsksIsSentWhatIsInForce, Fixture) {
+  PeerMessage wanted;
+  wanted.kind = PeerMessageKind::kConfigWanted;
+  wanted.from = kPeer;
+  follower.OnPeer(wanted);
+  BOOST_TEST(told.empty());
+  StoreHas("5");
+  StoreShows({"4"});
+  follower.OnPeer(wanted);
+  BOOST_REQUIRE(told.size() == 1U);
+  BOOST_TEST((told[0].kind == PeerMessageKind::kConfig));
+  BOOST_TEST(told[0].item_key == "c/config");
+  BOOST_TEST(told[0].item_value == "5");
+}
+
+}  // namespace
+}  // namespace quaytrack
--- /dev/null
+++ b/relay/testing/plain_state_reader.h
@@ -0,0 +1,52 @@
+// Reads shared state that is spelled as tests find convenient: the
+// configuration is its version ("c/config" = "7"), and a target ("t/a") is
+// "ready" or "leaving". Anything else is an item that can't be read.
+
+#ifndef QUAYTRACK_RELAY_TESTING_PLAIN_STATE_READER_H_
+#define QUAYTRACK_RELAY_TESTING_PLAIN_STATE_READER_H_
+
+#include <boost/leaf/error.hpp>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "relay/dialect.h"
+
+namespace quaytrack {
+
+class PlainStateReader final : public SharedStateReader {
+ public:
+  std::string ConfigPrefix() const override { return "c/"; }
+  std::string TargetsPrefix() const override { return "t/"; }
+
+  boost::leaf::result<ServiceMapPtr> Config(
+      const StoreItem& item) const override {
+    if (item.key != "c/config") return ServiceMapPtr();
+    if (item.value.find_first_not_of("0123456789") != std::string::npos) {
+      return boost::leaf::new_error(ItemError{"version", "is not a number"});
+    }
+    return std::make_shared<const ServiceMap>(
+        std::stoull(item.value), std::vector<RouteRule>(),
+        std::vector<ServiceRule>(), std::vector<CustomerRule>(),
+        RequestLimits());
+  }
+
+  boost::leaf::result<TargetEntry> Target(
+      const StoreItem& item) const override {
+    if (item.value != "ready" && item.value != "leaving") {
+      return boost::leaf::new_error(ItemError{"state", "is unknown"});
+    }
+    TargetEntry out;
+    out.name = TargetOf(item.key);
+    out.leaving = item.value == "leaving";
+    return out;
+  }
+
+  TargetName TargetOf(const std::string& key) const override {
+    return TargetName(key.substr(key.rfind('/') + 1));
+  }
+};
+
+}  // namespace quaytrack
+
+#endif  // QUAYTRACK_RELAY_TESTING_PLAIN_STATE_READER_H_
--- /dev/null
+++ b/relay/testing/target_follower_test.cc
@@ -0,0 +1,174 @@
+// The list of targets as it is followed: what is kept through an outage of the
+// store, and when the store is asked again.
+
+#include <boost/test/unit_test.hpp>
+
+#include "relay/config_driver.h"
+#include "relay/testing/plain_state_reader.h"
+#include "relay/testing/scripted_store.h"
+
+namespace quaytrack {
+namespace {
+
+using std::chrono::milliseconds;
+
+// A target that vanishes around an outage is kept between these times.
+constexpr Duration kKeptFor = milliseconds(1400);
+constexpr Duration kGoneAfter = milliseconds(600);
+// Beyond the time that the own watch is given before the store is asked again.
+constexpr Duration kAskedBy = milliseconds(450);
+// Beyond the pause after an answer with changes.
+constexpr Duration kNextWait = milliseconds(500);
+
+struct Fixture {
+  Fixture()
+      : follower(loop, store, reader,
+                 {[] {}, [this] { ++changes; }, [](auto&&, auto&&) {}}) {
+    follower.Start();
+    BOOST_TEST(store.AnswerRange(
+        "t/",
+        {StoreEnd::kDone, 2, {{"t/a", "ready", 1}, {"t/b", "ready", 2}}}));
+  }
+
+  void StoreShows(const std::string& key, const std::string& value,
+                  std::int64_t revision) {
+    BOOST_TEST(store.AnswerWait(
+        "t/",
+        {StoreEnd::kDone, false, revision, {{{key, value, revision}, false}}}));
+  }
+  void StoreRemoves(const std::string& key, std::int64_t revision) {
+    BOOST_TEST(store.AnswerWait(
+        "t/",
+        {StoreEnd::kDone, false, revision, {{{key, "", revision}, true}}}));
+  }
+  void PeerHasRead(std::int64_t revision) {
+    PeerMessage it;
+    it.targets_revision = revision;
+    follower.OnPeer(it);
+  }
+  bool Listed(const char* name) const {
+    return follower.targets().entries().contains(TargetName(name));
+  }
+  bool Leaving(const char* name) const {
+    return follower.targets().entries().at(TargetName(name)).leaving;
+  }
+
+  Loop loop;
+  ScriptedStore store;
+  PlainStateReader reader;
+  int changes = 0;
+  ConfigDriver follower;
+};
+
+BOOST_FIXTURE_TEST_CASE(TheListIsReadAndFollowed, Fixture) {
+  BOOST_TEST(Listed("a"));
+  BOOST_TEST(changes == 1);
+  StoreRemoves("t/a", 3);
+  BOOST_TEST(!Listed("a"));
+  BOOST_TEST(changes == 2);
+  RunFor(loop, kNextWait);
+  StoreShows("t/c", "ready", 4);
+  BOOST_TEST(Listed("c"));
+  BOOST_TEST(changes == 3);
+}
+
+BOOST_FIXTURE_TEST_CASE(AnEntryThatCantBeReadChangesNothing, Fixture) {
+  StoreShows("t/a", "unheard of", 3);
+  BOOST_TEST(Listed("a"));
+  BOOST_TEST(!Leaving("a"));
+}
+
+BOOST_FIXTURE_TEST_CASE(ATargetThatLeftStaysLeavingWhenItIsListedAgain,
+                        Fixture) {
+  StoreShows("t/a", "leaving", 3);
+  BOOST_TEST(Leaving("a"));
+  RunFor(loop, kNextWait);
+  StoreRemoves("t/a", 4);
+  BOOST_TEST(!Listed("a"));
+  RunFor(loop, kNextWait);
+  StoreShows("t/a", "ready", 5);
+  BOOST_TEST(Leaving("a"));
+}
+
+BOOST_FIXTURE_TEST_CASE(ATargetThatVanishesAroundAnOutageIsKeptForAWhile,
+                        Fixture) {
+  follower.OnStoreReachable(false);
+  StoreRemoves("t/a", 3);
+  BOOST_TEST(Listed("a"));
+  RunFor(loop, kKeptFor);
+  BOOST_TEST(Listed("a"));
+  const int before = changes;
+  RunFor(loop, kGoneAfter);
+  BOOST_TEST(!Listed("a"));
+  BOOST_TEST(Listed("b"));
+  BOOST_TEST(changes == before + 1);
+}
+
+BOOST_FIXTURE_TEST_CASE(ATargetThatIsListedAgainServesOn, Fixture) {
+  follower.OnStoreReachable(false);
+  StoreRemoves("t/a", 3);
+  RunFor(loop, kNextWait);
+  StoreShows("t/a", "ready", 4);
+  RunFor(loop, kKeptFor + kGoneAfter);
+  BOOST_TEST(Listed("a"));
+  BOOST_TEST(!Leaving("a"));
+}
+
+// Each user of the store that has it back says so; a target that left is kept
+// no longer for that.
+BOOST_FIXTURE_TEST_CASE(FurtherSignsOfTheStoresReturnKeepNothingLonger,
+                        Fixture) {
+  follower.OnStoreReachable(false);
+  follower.OnStoreReachable(true);
+  StoreRemoves("t/a", 3);
+  RunFor(loop, kKeptFor / 2);
+  follower.OnStoreReachable(true);
+  RunFor(loop, kKeptFor / 2);
+  follower.OnStoreReachable(true);
+  RunFor(loop, kGoneAfter);
+  BOOST_TEST(!Listed("a"));
+  // The time that began with the first sign is over for later ones too.
+  StoreRemoves("t/b", 4);
+  BOOST_TEST(!Listed("b"));
+}
+
+BOOST_FIXTURE_TEST_CASE(AnOutageThatComesBackKeepsOn, Fixture) {
+  follower.OnStoreReachable(false);
+  follower.OnStoreReachable(true);
+  RunFor(loop, kKeptFor);
+  follower.OnStoreReachable(false);
+  RunFor(loop, kGoneAfter);
+  StoreRemoves("t/a", 3);
+  BOOST_TEST(Listed("a"));
+}
+
+BOOST_FIXTURE_TEST_CASE(AStoreThatIsBackIsAskedAgain, Fixture) {
+  BOOST_TEST(store.waits.started_by_key["t/"] == 1);
+  follower.OnStoreReachable(false);
+  BOOST_TEST(store.waits.started_by_key["t/"] == 1);
+  follower.OnStoreReachable(true);
+  BOOST_TEST(store.waits.started_by_key["t/"] == 2);
+}
+
+BOOST_FIXTURE_TEST_CASE(AChangeThatPeersHaveReadIsAskedForAgain, Fixture) {
+  PeerHasRead(3);
+  RunFor(loop, milliseconds(100));
+  // The own watch is given a moment first.
+  BOOST_TEST(store.waits.started_by_key["t/"] == 1);
+  RunFor(loop, kAskedBy);
+  BOOST_TEST(store.waits.started_by_key["t/"] == 2);
+}
+
+BOOST_FIXTURE_TEST_CASE(AChangeThatHasBeenReadIsNotAskedForAgain, Fixture) {
+  PeerHasRead(2);
+  RunFor(loop, kAskedBy);
+  BOOST_TEST(store.waits.started_by_key["t/"] == 1);
+  // The own watch brings it in time; the next wait is the usual one.
+  PeerHasRead(3);
+  StoreShows("t/c", "ready", 3);
+  RunFor(loop, kNextWait);
+  BOOST_TEST(store.waits.started_by_key["t/"] == 2);
+}
+
+}  // namespace
+}  // namespace quaytrack
