--- /dev/null
+++ b/relay/testing/fleet_driver_test.cc
@@ -0,0 +1,123 @@
+// How a router enters the list of routers and learns of the others.
+
+#include "relay/fleet_driver.h"
+
+#include <boost/test/unit_test.hpp>
+
+#include "relay/testing/scripted_store.h"
+
+namespace quaytrack {
+namespace {
+
+using std::chrono::milliseconds;
+
+constexpr char kPrefix[] = "quaytrack/router/";
+// Beyond the pause before a failed call is made again, and the one before the
+// list is read for the second time.
+constexpr Duration kRetried = milliseconds(550);
+constexpr Duration kReadAgain = milliseconds(1900);
+
+FleetMember Member(const char* vm) {
+  return {VmName(vm), HallName("h"), std::string(vm) + ":1"};
+}
+
+struct Fixture {
+  Fixture() : driver(loop, store, Member("vm-1"), FleetOptions()) {
+    driver.OnChanged([this] { ++changes; });
+    driver.SetAddress("vm-1:2");
+    driver.Start();
+  }
+
+  bool AnswerWrite(StoreEnd end) {
+    return store.AnswerWrite("quaytrack/router/vm-1", {end, 1, {}});
+  }
+  bool AnswerRead(StoreEnd end, const std::vector<FleetMember>& members) {
+    StoreSnapshot out;
+    out.end = end;
+    for (const FleetMember& it : members) {
+      out.items.push_back({kPrefix + it.vm.value, EncodeMember(it), 1});
+    }
+    return store.AnswerRange(kPrefix, out);
+  }
+
+  Loop loop;
+  ScriptedStore store;
+  int changes = 0;
+  FleetDriver driver;
+};
+
+BOOST_FIXTURE_TEST_CASE(TheOwnEntryIsWrittenUntilTheStoreHasIt, Fixture) {
+  BOOST_REQUIRE(store.last_write.puts.size() == 1U);
+  FleetMember self = Member("vm-1");
+  self.address = "vm-1:2";
+  BOOST_TEST((DecodeMember(store.last_write.puts[0].value) == self));
+  BOOST_TEST(store.last_write.conditions.empty());
+  for (const StoreEnd it : {StoreEnd::kRefused, StoreEnd::kUnknown}) {
+    BOOST_TEST(AnswerWrite(it));
+    RunFor(loop, kRetried);
+  }
+  BOOST_TEST(store.ranges.started == 0U);
+  BOOST_TEST(AnswerWrite(StoreEnd::kDone));
+  BOOST_TEST(store.writes.started == 3U);
+  BOOST_TEST(store.ranges.started == 1U);
+}
+
+BOOST_FIXTURE_TEST_CASE(AReadThatFailsIsMadeAgain, Fixture) {
+  AnswerWrite(StoreEnd::kDone);
+  BOOST_TEST(AnswerRead(StoreEnd::kRefused, {}));
+  BOOST_TEST(changes == 0);
+  RunFor(loop, kRetried);
+  BOOST_TEST(AnswerRead(StoreEnd::kDone, {Member("vm-2")}));
+  BOOST_TEST(changes == 1);
+  BOOST_TEST(driver.directory().size() == 2U);
+}
+
+// Routers that start together have entered by the time of the second read.
+BOOST_FIXTURE_TEST_CASE(TheSecondReadSettlesTheList, Fixture) {
+  AnswerWrite(StoreEnd::kDone);
+  BOOST_TEST(AnswerRead(StoreEnd::kDone, {}));
+  BOOST_TEST(!driver.settled());
+  BOOST_TEST(changes == 0);
+  RunFor(loop, kReadAgain);
+  BOOST_TEST(AnswerRead(StoreEnd::kDone, {}));
+  BOOST_TEST(driver.settled());
+  // Told although the list is the same.
+  BOOST_TEST(changes == 1);
+}
+
+BOOST_FIXTURE_TEST_CASE(TheOwnEntryOfAnEarlierRunChangesNothing, Fixture) {
+  AnswerWrite(StoreEnd::kDone);
+  FleetMember earlier = Member("vm-1");
+  earlier.address = "vm-1:9";
+  BOOST_TEST(AnswerRead(StoreEnd::kDone, {earlier}));
+  BOOST_TEST(driver.directory().self().address == "vm-1:2");
+  driver.OnHello(earlier);
+  BOOST_TEST(driver.directory().self().address == "vm-1:2");
+  BOOST_TEST(changes == 0);
+}
+
+BOOST_FIXTURE_TEST_CASE(AnEntryThatCantBeReadIsLeftOut, Fixture) {
+  AnswerWrite(StoreEnd::kDone);
+  StoreSnapshot out;
+  out.end = StoreEnd::kDone;
+  out.items.push_back({std::string(kPrefix) + "vm-3", "no entry", 1});
+  out.items.push_back(
+      {std::string(kPrefix) + "vm-2", EncodeMember(Member("vm-2")), 1});
+  BOOST_TEST(store.AnswerRange(kPrefix, out));
+  BOOST_TEST(driver.directory().size() == 2U);
+}
+
+BOOST_FIXTURE_TEST_CASE(ARouterThatLinksIsKnownBetweenReads, Fixture) {
+  driver.OnHello(Member("vm-2"));
+  BOOST_TEST(driver.directory().size() == 2U);
+  BOOST_TEST(changes == 1);
+  driver.OnHello(Member("vm-2"));
+  BOOST_TEST(changes == 1);
+  FleetMember nowhere = Member("vm-3");
+  nowhere.address.clear();
+  driver.OnHello(nowhere);
+  BOOST_TEST(driver.directory().size() == 2U);
+}
+
+}  // namespace
+}  // namespace quaytrack
--- /dev/null
+++ b/relay/testing/peer_mesh_test.cc
@@ -0,0 +1,143 @@
+// Links between routers, over loopback: who is linked, who is told what, and
+// when a link counts as lost.
+
+#include "relay/peer_mesh.h"
+
+#include <algorithm>
+#include <boost/test/unit_test.hpp>
+
+#include "relay/testing/scripted_store.h"
+
+namespace quaytrack {
+namespace {
+
+using std::chrono::milliseconds;
+
+// Enough for a link over loopback to open.
+constexpr Duration kOpened = milliseconds(200);
+// Beyond the time between two signs of life.
+constexpr Duration kNextSign = milliseconds(1200);
+
+// Stands still until the test moves it.
+class ManualClock final : public Clock {
+ public:
+  Instant Now() const override { return now; }
+  WallTime WallNow() const override { return {}; }
+  Instant now = Instant(std::chrono::hours(1));
+};
+
+// One router's links, and what its handlers were told.
+struct Router {
+  Router(Loop& loop, const char* incarnation)
+      : self(incarnation), mesh(loop, clock, self, Handlers()) {
+    address = "127.0.0.1:" + std::to_string(mesh.Listen("127.0.0.1:0"));
+  }
+
+  PeerMesh::Handlers Handlers() {
+    PeerMesh::Handlers out;
+    out.message = [this](const PeerMessage& it) { heard.push_back(it); };
+    out.describe = [this](PeerMessage& it) { it.config_version = version; };
+    out.lost = [this](const Incarnation& it) { lost.push_back(it); };
+    return out;
+  }
+  FleetMember Member() const { return {VmOf(self), HallName("h"), address}; }
+  int Count(PeerMessageKind kind) const {
+    return static_cast<int>(
+        std::count_if(heard.begin(), heard.end(),
+                      [&](const PeerMessage& it) { return it.kind == kind; }));
+  }
+
+  ManualClock clock;
+  Incarnation self;
+  std::uint64_t version = 7;
+  std::vector<PeerMessage> heard;
+  std::vector<Incarnation> lost;
+  std::string address;
+  PeerMesh mesh;
+};
+
+struct Fixture {
+  // One dials the other, and both have said who they are.
+  void Link(Router& from, const Router& to) {
+    from.mesh.SetDialled({to.Member()});
+    RunFor(loop, kOpened);
+  }
+
+  Loop loop;
+  Router one{loop, "vm-1@a"};
+  Router two{loop, "vm-2@a"};
+};
+
+BOOST_FIXTURE_TEST_CASE(BothEndsOfALinkLearnWhoIsThere, Fixture) {
+  BOOST_TEST(one.mesh.Linked(VmName("vm-2")).empty());
+  Link(one, two);
+  BOOST_TEST((one.mesh.Linked(VmName("vm-2")) == two.self));
+  BOOST_TEST((two.mesh.Linked(VmName("vm-1")) == one.self));
+  BOOST_TEST(one.Count(PeerMessageKind::kHello) == 1);
+  BOOST_TEST(two.Count(PeerMessageKind::kHello) == 1);
+  BOOST_TEST(two.heard.at(0).config_version == 7U);
+  BOOST_TEST(one.mesh.linked() == 1U);
+}
+
+// A peer that dials meanwhile makes a second link; each is told once.
+BOOST_FIXTURE_TEST_CASE(APeerWithTwoLinksIsToldOnce, Fixture) {
+  one.mesh.SetDialled({two.Member()});
+  two.mesh.SetDialled({one.Member()});
+  RunFor(loop, kOpened);
+  BOOST_TEST(one.mesh.linked() == 1U);
+  PeerMessage message;
+  message.kind = PeerMessageKind::kAsk;
+  message.from = one.self;
+  one.mesh.Broadcast(message);
+  RunFor(loop, kOpened);
+  BOOST_TEST(two.Count(PeerMessageKind::kAsk) == 1);
+  one.mesh.Tell(two.self, message);
+  one.mesh.Tell(Incarnation("vm-2@b"), message);
+  RunFor(loop, kOpened);
+  BOOST_TEST(two.Count(PeerMessageKind::kAsk) == 2);
+}
+
+BOOST_FIXTURE_TEST_CASE(PeersShowWhatIsInForceEachSecondAndAtOnce, Fixture) {
+  Link(one, two);
+  one.version = 8;
+  one.mesh.Ping();
+  RunFor(loop, kOpened);
+  BOOST_TEST(two.Count(PeerMessageKind::kPing) == 1);
+  BOOST_TEST(two.heard.back().config_version == 8U);
+  RunFor(loop, kNextSign);
+  BOOST_TEST(two.Count(PeerMessageKind::kPing) >= 2);
+}
+
+// A cut says nothing: silence ends the link, and it is dialled again.
+BOOST_FIXTURE_TEST_CASE(ALinkThatIsSilentIsLostAndDialledAgain, Fixture) {
+  Link(one, two);
+  one.clock.now += milliseconds(3600);
+  RunFor(loop, kNextSign);
+  BOOST_REQUIRE(one.lost.size() == 1U);
+  BOOST_TEST((one.lost[0] == two.self));
+  RunFor(loop, kOpened);
+  BOOST_TEST((one.mesh.Linked(VmName("vm-2")) == two.self));
+  BOOST_TEST(one.Count(PeerMessageKind::kHello) == 2);
+}
+
+BOOST_FIXTURE_TEST_CASE(ALinkThatWasHeardOfLatelyStays, Fixture) {
+  Link(one, two);
+  one.clock.now += milliseconds(3400);
+  RunFor(loop, kNextSign);
+  BOOST_TEST(one.lost.empty());
+  BOOST_TEST(one.Count(PeerMessageKind::kHello) == 1);
+}
+
+// A VM runs one router, so that the earlier one's process has ended.
+BOOST_FIXTURE_TEST_CASE(ALaterIncarnationEndsTheLinksToAnEarlier, Fixture) {
+  Link(one, two);
+  Router later{loop, "vm-2@b"};
+  later.mesh.SetDialled({one.Member()});
+  RunFor(loop, kOpened);
+  BOOST_TEST((one.mesh.Linked(VmName("vm-2")) == later.self));
+  BOOST_REQUIRE(one.lost.size() == 1U);
+  BOOST_TEST((one.lost[0] == two.self));
+}
+
+}  // namespace
+}  // namespace quaytrack
