--- a/fleet/target_registry.h
+++ b/fleet/target_registry.h
@@ -1,20 +1,29 @@
-// The targets as the platform lists them: which there are, and which leave.
+// TargetRegistry: the targets as the platform lists them, which there are and
+// which are leaving.
 //
-//   registry.Replace(entries);          // a whole list
-//   registry.Put(entry); registry.Remove(name);
+//   TargetRegistry registry;
+//   registry.Replace(entries);               // a whole list
+//   registry.Put(entry);                     // one that is new or has changed
+//   registry.Remove(name);                   // one that is no longer listed
+//   for (const auto& [name, entry] : registry.entries()) ...
 //
 // A target that is leaving, or is no longer listed, gets no new work at once.
-// Its running requests end by themselves: it serves on for a while. A start of
-// a target is a new name, so an entry never comes back from leaving; one that
-// was only lost sight of may be listed again.
+// Its running requests end by themselves, as it serves on for a while. Each
+// start of a target has a name of its own, so a name that was once seen leaving
+// stays leaving whatever is listed later; one that was only lost sight of may
+// be listed again as ready.
 //
-// While the platform's store is away, entries may lapse although their targets
-// live; these are back soon after the store is. So what vanishes around an
-// outage stays for a while:
+// Around an outage of the platform's store, entries may lapse although their
+// targets live. So what vanishes then can be kept for a while:
 //
-//   registry.Hold();                    // the store is lost
-//   registry.Release();                 // it has been back for a while
+//   registry.KeepMissing();                  // the store is lost
+//   registry.StopKeeping();                  // it has been back for a while
 //   for (const TargetName& it : registry.DropMissing()) ...   // gone after all
+//
+// When to do which, and for how long, is decided in relay/target_follower.h.
+//
+// The registry owns the entries and nothing else, and reads no clock. It takes
+// any entry, and reports no errors.
 
 #ifndef QUAYTRACK_FLEET_TARGET_REGISTRY_H_
 #define QUAYTRACK_FLEET_TARGET_REGISTRY_H_
@@ -36,7 +45,9 @@
   // "host:port".
   std::string address;
   HallName hall;
+  // Requests that it serves at the same time.
   int slots = 1;
+  // It ends soon and takes no new work.
   bool leaving = false;
 
   bool operator==(const TargetEntry&) const = default;
@@ -44,7 +55,8 @@
 
 class TargetRegistry {
  public:
-  // Each returns whether anything changed.
+  // Adds or replaces an entry. Returns whether anything changed, as `Remove`
+  // and `Replace` do.
   bool Put(const TargetEntry& entry) {
     TargetEntry it = entry;
     if (left_.contains(it.name)) it.leaving = true;
@@ -56,11 +68,12 @@
     return true;
   }
 
-  // A target that the platform has lost sight of may be listed again later.
+  // The target is no longer listed. It may be listed again later, unless it was
+  // leaving.
   bool Remove(const TargetName& name) {
     const auto it = entries_.find(name);
     if (it == entries_.end()) return false;
-    if (holding_ && !it->second.leaving) {
+    if (keeps_missing_ && !it->second.leaving) {
       missing_.insert(name);
       return false;
     }
@@ -69,19 +82,20 @@
   }
 
   // From now on, a target that vanishes stays, unless it was leaving.
-  void Hold() { holding_ = true; }
+  void KeepMissing() { keeps_missing_ = true; }
 
-  // From now on, what vanishes has gone.
-  void Release() { holding_ = false; }
+  // From now on, what vanishes is gone at once. What is missing already stays
+  // until `DropMissing`.
+  void StopKeeping() { keeps_missing_ = false; }
 
   // Removes what has vanished and was not listed again, and returns it.
   std::set<TargetName> DropMissing() {
     for (const TargetName& it : missing_) entries_.erase(it);
     return std::exchange(missing_, {});
   }
-  bool AnyMissing() const { return !missing_.empty(); }
+  bool HasMissing() const { return !missing_.empty(); }
 
-  // What is not in `entries` has gone.
+  // Takes a whole list: what is not in `entries` is no longer listed.
   bool Replace(const std::vector<TargetEntry>& entries) {
     std::set<TargetName> gone;
     for (const auto& [name, entry] : entries_) gone.insert(name);
@@ -100,8 +114,8 @@
   std::map<TargetName, TargetEntry> entries_;
   // Names that were seen leaving; an older entry doesn't bring them back.
   std::set<TargetName> left_;
-  bool holding_ = false;
-  // Held, and not listed at present.
+  bool keeps_missing_ = false;
+  // Kept in `entries_`, and not listed at present.
   std::set<TargetName> missing_;
 };
 
--- a/fleet/testing/target_registry_test.cc
+++ b/fleet/testing/target_registry_test.cc
@@ -12,11 +12,11 @@
   return out;
 }
 
-struct HeldFixture {
-  HeldFixture() {
+struct OutageFixture {
+  OutageFixture() {
     registry.Replace({Entry("lapsed"), Entry("dead"), Entry("leaving")});
     registry.Put(Entry("leaving", true));
-    registry.Hold();
+    registry.KeepMissing();
     registry.Replace({});
   }
   bool Listed(const char* name) const {
@@ -25,13 +25,13 @@
   TargetRegistry registry;
 };
 
-BOOST_FIXTURE_TEST_CASE(WhatVanishesInAnOutageStaysForAWhile, HeldFixture) {
+BOOST_FIXTURE_TEST_CASE(WhatVanishesInAnOutageStaysForAWhile, OutageFixture) {
   BOOST_TEST(Listed("lapsed"));
   BOOST_TEST(Listed("dead"));
   BOOST_TEST(!Listed("leaving"));
 }
 
-BOOST_FIXTURE_TEST_CASE(WhatIsNotListedAgainIsGone, HeldFixture) {
+BOOST_FIXTURE_TEST_CASE(WhatIsNotListedAgainIsGone, OutageFixture) {
   registry.Put(Entry("lapsed"));
   const std::set<TargetName> gone = registry.DropMissing();
   BOOST_TEST((gone == std::set<TargetName>{TargetName("dead")}));
@@ -39,15 +39,15 @@
   BOOST_TEST(!Listed("dead"));
 }
 
-BOOST_FIXTURE_TEST_CASE(AHeldTargetThatLeavesIsLeaving, HeldFixture) {
+BOOST_FIXTURE_TEST_CASE(AKeptTargetThatLeavesIsLeaving, OutageFixture) {
   registry.Put(Entry("lapsed", true));
   BOOST_TEST(registry.entries().at(TargetName("lapsed")).leaving);
   registry.Remove(TargetName("lapsed"));
   BOOST_TEST(!Listed("lapsed"));
 }
 
-BOOST_FIXTURE_TEST_CASE(WithoutAnOutageWhatVanishesIsGone, HeldFixture) {
-  registry.Release();
+BOOST_FIXTURE_TEST_CASE(WithoutAnOutageWhatVanishesIsGone, OutageFixture) {
+  registry.StopKeeping();
   registry.Put(Entry("lapsed"));
   BOOST_TEST(registry.Remove(TargetName("lapsed")));
   BOOST_TEST(!Listed("lapsed"));
--- a/relay/config_driver.cc
+++ b/relay/config_driver.cc
@@ -97,7 +97,7 @@
 }
 
 void ConfigDriver::OnStoreReachable(bool reachable) {
-  targets_.Hold();
+  targets_.KeepMissing();
   if (!reachable) {
     release_timer_.reset();
     return;
@@ -109,14 +109,14 @@
   if (release_timer_) return;
   release_timer_ = loop_.After(kRelistTime, [this] {
     release_timer_.reset();
-    targets_.Release();
+    targets_.StopKeeping();
   });
 }
 
 // A target that has vanished may have left, which binds this router from when
 // it was seen; so none is kept longer than this, whatever the store does.
 void ConfigDriver::WatchMissing() {
-  if (missing_timer_ || !targets_.AnyMissing()) return;
+  if (missing_timer_ || !targets_.HasMissing()) return;
   missing_timer_ = loop_.After(kRelistTime, [this] { DropMissing(); });
 }
 
