--- a/kv/follower.cc
+++ b/kv/follower.cc
@@ -4,6 +4,15 @@
 #include <utility>
 
 namespace quaytrack {
+namespace {
+
+// A pause before another try is drawn from between these parts of
+// `Options::retry_after`, as all routers lose the store at the same moment. Not
+// measured.
+constexpr double kLeastJitter = 0.7;
+constexpr double kMostJitter = 1.3;
+
+}  // namespace
 
 StoreFollower::StoreFollower(Loop& loop, KvStore& store, Options options,
                              Handlers handlers)
@@ -13,7 +22,7 @@
       on_(std::move(handlers)) {}
 
 void StoreFollower::Read() {
-  caught_up_ = false;
+  has_read_ = false;
   call_ = store_.Range(options_.prefix,
                        [this](const StoreSnapshot& it) { OnSnapshot(it); });
 }
@@ -28,7 +37,7 @@
   SetReachable(snapshot.end == StoreEnd::kDone);
   if (snapshot.end != StoreEnd::kDone) return RetryLater();
   revision_ = snapshot.revision;
-  caught_up_ = true;
+  has_read_ = true;
   for (const StoreItem& it : snapshot.items) {
     latest_change_ = std::max(latest_change_, it.revision);
   }
@@ -53,20 +62,18 @@
 }
 
 void StoreFollower::AskAgain() {
-  // A read, or a pause before the next call, ends by itself.
-  if (caught_up_ && call_) Wait();
+  if (has_read_ && call_) Wait();
 }
 
 void StoreFollower::CallLater(Duration delay) {
-  later_ = loop_.After(delay, [this] {
-    if (caught_up_) return Wait();
+  call_timer_ = loop_.After(delay, [this] {
+    if (has_read_) return Wait();
     Read();
   });
 }
 
-// With jitter, as all routers lose the store at the same moment.
 void StoreFollower::RetryLater() {
-  std::uniform_real_distribution<double> jitter(0.7, 1.3);
+  std::uniform_real_distribution<double> jitter(kLeastJitter, kMostJitter);
   CallLater(std::chrono::duration_cast<Duration>(options_.retry_after *
                                                  jitter(random_)));
 }
--- a/kv/follower.h
+++ b/kv/follower.h
@@ -1,15 +1,27 @@
-// Keeps up with everything below a prefix of the store.
+// StoreFollower keeps up with everything below a prefix of the store.
 //
-//   StoreFollower follower(loop, store, "op/", options, handlers);
+//   StoreFollower::Options options;
+//   options.prefix = "op/";
+//   StoreFollower follower(loop, store, options, handlers);
 //   follower.Start();
+//   follower.AskAgain();          // the present wait may have been swallowed
 //
-// It reads all items, then waits for changes from there, and reads anew when
-// the store has forgotten where it was. While the store is away it goes on
-// trying; what was handed out stays as it was.
+// It reads all items, then waits for changes after that revision (a long poll),
+// and reads all anew when the store has forgotten where it was. A call that
+// fails is made again after `retry_after`, without end; what was handed out
+// stays as it was. Handlers are told of all items, of each change, and when the
+// store is lost or back.
 //
 // Each answer costs a call, and a change that comes alone is answered at once.
 // Where many come one by one, as when a fleet starts, all followers would call
-// for each; so after an answer with changes the next call waits a little.
+// for each; so after an answer with changes the next wait is `spacing` later
+// and brings what came meanwhile together.
+//
+// The store tells what an item is when it answers. Of an item that changed
+// twice between two answers, a follower may see the later value alone.
+//
+// It owns its call and timer. Loop and store must outlive it. Revisions are the
+// store's (kv/store.h); times are of the loop.
 
 #ifndef QUAYTRACK_KV_FOLLOWER_H_
 #define QUAYTRACK_KV_FOLLOWER_H_
@@ -30,19 +42,24 @@
  public:
   struct Options {
     std::string prefix;
-    // How long one wait for changes may last; a wait that the network or the
+    // How long one wait for changes may last. A wait that the network or the
     // store has swallowed is noticed a little later than this, or when
-    // `AskAgain` is called.
+    // `AskAgain` is called. It was 3 s until commit 288b6d2, when waits were a
+    // third of the calls of a router in a large fleet; 8 s itself is not
+    // measured.
     Duration patience = std::chrono::milliseconds(8000);
+    // From a call that failed to the next, on average. Not measured.
     Duration retry_after = std::chrono::milliseconds(250);
-    // From an answer with changes to the next call.
+    // From an answer with changes to the next wait. Commit e7705ae: without it
+    // each of 143 targets cost each router a call at a start. 200 ms itself is
+    // not measured.
     Duration spacing = std::chrono::milliseconds(200);
   };
   struct Handlers {
-    // All items there are.
+    // All items there are; others that were told of before are gone.
     std::function<void(const std::vector<StoreItem>& items)> replaced;
     std::function<void(const StoreChange& change)> changed;
-    // After each answer that brought something.
+    // After each read, and each answer that brought changes.
     std::function<void()> settled;
     // The store was lost (false) or is back (true).
     std::function<void(bool reachable)> reachable;
@@ -51,7 +68,8 @@
   StoreFollower(Loop& loop, KvStore& store, Options options, Handlers handlers);
 
   void Start() { Read(); }
-  // There is reason to think that the present wait is lost: waits anew.
+  // There is reason to think that the present wait is lost: waits anew. Does
+  // nothing while it reads, or pauses before the next call.
   void AskAgain();
   // Revision of the latest change that was handed out.
   std::int64_t latest_change() const { return latest_change_; }
@@ -66,7 +84,7 @@
   void Wait();
   void OnSnapshot(const StoreSnapshot& snapshot);
   void OnChanges(const StoreChanges& changes);
-  // Waits, or reads if nothing has been read yet.
+  // Waits, or reads if all items have to be read.
   void CallLater(Duration delay);
   void RetryLater();
   void SetReachable(bool reachable);
@@ -75,13 +93,15 @@
   KvStore& store_;
   Options options_;
   Handlers on_;
+  // All changes up to this one have been handed out.
   std::int64_t revision_ = 0;
   std::int64_t latest_change_ = 0;
-  bool caught_up_ = false;
+  // All items were read, so changes can be waited for.
+  bool has_read_ = false;
   bool reachable_ = true;
   std::minstd_rand random_{std::random_device{}()};
   KvStore::CallPtr call_;
-  std::unique_ptr<Timer> later_;
+  std::unique_ptr<Timer> call_timer_;
 };
 
 }  // namespace quaytrack
--- a/kv/store.h
+++ b/kv/store.h
@@ -1,16 +1,25 @@
-// The key-value store, as the parts that keep or follow shared state see it.
+// KvStore: the key-value store, as the parts that keep or follow shared state
+// see it. `platform/` implements it.
 //
-// Every call ends in one of four ways, and the last is why callers are written
-// the way they are:
+//   auto reading = store.Range("op/", [](const StoreSnapshot& it) {...});
+//   auto waiting = store.Wait("op/", revision, std::chrono::seconds(8),
+//                             [](const StoreChanges& it) {...});
+//   auto writing = store.Write(write, [](const StoreWritten& it) {...});
+//
+// Each call reports once, on the loop. Whoever made it keeps the returned
+// `Call`; destroying that gives the call up, and nothing is reported.
+//
+// Every call ends in one of four ways. The last is why callers that write give
+// conditions, and read before they write again:
 //
 //   kDone      answered;
 //   kRejected  a condition didn't hold: nothing was written;
 //   kRefused   answered with an error, or certainly not sent: nothing happened;
 //   kUnknown   sent, and no answer came: it may have happened, or still may.
 //
-//   store.Range("op/", [](const StoreSnapshot& it) {...});
-//   auto waiting = store.Wait("op/", it.revision, 10s, [](StoreChanges it)
-//   {...});
+// Each change of the store has a revision, a number that only rises. Keys are
+// text and values any bytes. Times are `Duration`s; how long a call without an
+// answer lasts is set where the interface is implemented.
 
 #ifndef QUAYTRACK_KV_STORE_H_
 #define QUAYTRACK_KV_STORE_H_
@@ -37,6 +46,7 @@
                                           {StoreEnd::kUnknown, "unknown"}});
 };
 
+// A key and its value.
 struct StoreItem {
   std::string key;
   std::string value;
@@ -44,6 +54,7 @@
   std::int64_t revision = 0;
 };
 
+// A write is done only if a key has not changed since a revision.
 struct StoreCondition {
   std::string key;
   // Revision of its last change; 0: it must not exist.
@@ -58,8 +69,10 @@
   std::vector<std::string> removes;
 };
 
+// How a write ended.
 struct StoreWritten {
   StoreEnd end = StoreEnd::kUnknown;
+  // Of the write, after kDone.
   std::int64_t revision = 0;
   // After kRejected, the present items of the conditions' keys.
   std::vector<StoreItem> present;
@@ -74,14 +87,17 @@
 };
 
 struct StoreChange {
+  // Without a value if it was removed.
   StoreItem item;
   bool removed = false;
 };
 
+// What changed below a prefix after a revision.
 struct StoreChanges {
   StoreEnd end = StoreEnd::kUnknown;
   // The store has forgotten changes since the given revision: read anew.
   bool forgotten = false;
+  // Where the next wait starts.
   std::int64_t revision = 0;
   std::vector<StoreChange> changes;
 };
@@ -97,8 +113,10 @@
   using CallPtr = std::unique_ptr<Call>;
 
   virtual ~KvStore() = default;
+  // All items below `prefix`.
   virtual CallPtr Range(const std::string& prefix,
                         std::function<void(const StoreSnapshot&)> done) = 0;
+  // All of `write` or nothing.
   virtual CallPtr Write(const StoreWrite& write,
                         std::function<void(const StoreWritten&)> done) = 0;
   // Answers as soon as something below `prefix` changed after `revision`, or
