--- a/relay/fleet_driver.cc
+++ b/relay/fleet_driver.cc
@@ -1,7 +1,6 @@
 #include "relay/fleet_driver.h"
 
 #include <algorithm>
-#include <vector>
 
 #include "base/log.h"
 
@@ -10,12 +9,19 @@
 
 using std::chrono::milliseconds;
 
+// Under which each router's entry stands, by the name of its VM.
 constexpr char kPrefix[] = "quaytrack/router/";
-// The first read again comes soon, as a fleet starts together; each later one
-// after twice the time, up to the longest.
+
+// From the first read of the list to the second; each later pause is twice the
+// one before it, up to the longest. All since commit e7705ae; not measured.
 constexpr Duration kFirstInterval = milliseconds(1500);
 constexpr Duration kLongestInterval = milliseconds(15000);
+// From a call that failed to the next try. Not measured.
 constexpr Duration kRetryAfter = milliseconds(400);
+// Each pause is drawn from between these parts of it, so that routers that
+// started together don't call together. Not measured.
+constexpr double kLeastJitter = 0.8;
+constexpr double kMostJitter = 1.2;
 
 }  // namespace
 
@@ -32,23 +38,20 @@
   directory_.Put({self});
 }
 
-void FleetDriver::Start() { Register(); }
-
-void FleetDriver::Register() {
+void FleetDriver::WriteOwnEntry() {
   const FleetMember& self = directory_.self();
   StoreWrite write;
   write.puts.push_back({kPrefix + self.vm.value, EncodeMember(self), 0});
   call_ = store_.Write(write, [this](const StoreWritten& it) {
     call_.reset();
-    // Written twice, it is the same.
     if (it.end != StoreEnd::kDone) {
-      return After(kRetryAfter, &FleetDriver::Register);
+      return RunLater(kRetryAfter, &FleetDriver::WriteOwnEntry);
     }
-    Read();
+    ReadEntries();
   });
 }
 
-void FleetDriver::Read() {
+void FleetDriver::ReadEntries() {
   call_ = store_.Range(kPrefix,
                        [this](const StoreSnapshot& it) { OnSnapshot(it); });
 }
@@ -56,28 +59,34 @@
 void FleetDriver::OnSnapshot(const StoreSnapshot& snapshot) {
   call_.reset();
   if (snapshot.end != StoreEnd::kDone) {
-    return After(kRetryAfter, &FleetDriver::Read);
+    return RunLater(kRetryAfter, &FleetDriver::ReadEntries);
   }
-  std::vector<FleetMember> members;
+  const bool changed = directory_.Put(OthersIn(snapshot));
+  const bool first = interval_ == kFirstInterval;
+  const bool settles = !first && !settled_;
+  if (settles) settled_ = true;
+  if (changed || settles) changed_();
+  RunLater(interval_, &FleetDriver::ReadEntries);
+  interval_ = std::min(interval_ * 2, kLongestInterval);
+}
+
+// This router's own entry may be that of an earlier run, at another address.
+std::vector<FleetMember> FleetDriver::OthersIn(
+    const StoreSnapshot& snapshot) const {
+  std::vector<FleetMember> out;
   for (const StoreItem& it : snapshot.items) {
     const auto member = DecodeMember(it.value);
     if (!member) {
       LogEvent(Event::kRecordRefused, {{"key", it.key}});
       continue;
     }
-    if (member->vm != directory_.self().vm) members.push_back(*member);
+    if (member->vm != directory_.self().vm) out.push_back(*member);
   }
-  const bool changed = directory_.Put(members);
-  const bool second = interval_ > kFirstInterval;
-  const bool settles = second && !settled_;
-  settled_ = settled_ || second;
-  if (changed || settles) changed_();
-  After(interval_, &FleetDriver::Read);
-  interval_ = std::min(interval_ * 2, kLongestInterval);
+  return out;
 }
 
-void FleetDriver::After(Duration delay, void (FleetDriver::*step)()) {
-  std::uniform_real_distribution<double> jitter(0.8, 1.2);
+void FleetDriver::RunLater(Duration delay, void (FleetDriver::*step)()) {
+  std::uniform_real_distribution<double> jitter(kLeastJitter, kMostJitter);
   const auto when =
       std::chrono::duration_cast<Duration>(delay * jitter(random_));
   timer_ = loop_.After(when, [this, step] { (this->*step)(); });
--- a/relay/fleet_driver.h
+++ b/relay/fleet_driver.h
@@ -1,9 +1,25 @@
-// Keeps the list of routers (fleet/fleet.h) up to date: each writes an entry
-// of its own into the store when it starts, and reads all of them now and then.
-// Between reads, routers that link to this one say where they are.
+// FleetDriver keeps the list of routers (fleet/fleet.h) up to date.
 //
-// The entries are polled, not followed: a fleet that starts would wake all
-// routers for each entry, and a list that is some seconds old does no harm.
+//   FleetDriver fleet(loop, store, {vm, hall, ""}, options);
+//   fleet.OnChanged([&] { peers.KeepLinksTo(fleet.directory()...); });
+//   fleet.SetAddress("10.0.0.7:8082");
+//   fleet.Start();
+//   fleet.OnHello(member);            // a router that has linked to this one
+//
+// Each router writes an entry of its own into the store when it starts, and
+// reads those of all routers again and again: soon at first, as the routers of
+// a fleet start together, and then less and less often (constants in the .cc).
+// Between two reads, a router that opens a link says who and where it is.
+//
+// The entries are polled, not followed: while a fleet starts, following would
+// wake all routers for each entry, and a list that is some seconds old does no
+// harm (fleet/fleet.h says why). Nothing removes an entry; a VM that is gone
+// for good stays in the list (docs/FINDINGS.md).
+//
+// It owns the directory. Calls to the store that fail are made again after
+// `kRetryAfter`, without end; writing the entry twice is the same as once. An
+// entry that can't be read is left out, with a line in the log. Store and loop
+// must outlive the driver.
 
 #ifndef QUAYTRACK_RELAY_FLEET_DRIVER_H_
 #define QUAYTRACK_RELAY_FLEET_DRIVER_H_
@@ -13,6 +29,7 @@
 #include <random>
 #include <string>
 #include <utility>
+#include <vector>
 
 #include "fleet/fleet.h"
 #include "kv/store.h"
@@ -25,32 +42,35 @@
   FleetDriver(Loop& loop, KvStore& store, FleetMember self,
               FleetOptions options);
 
-  // Called when the list has changed, and once when it was first read.
+  // Called when the list has changed, and once when it has settled.
   void OnChanged(std::function<void()> changed) {
     changed_ = std::move(changed);
   }
-  // Where peers reach this router; before `Start`.
+  // Where peers reach this router, "host:port"; before `Start`.
   void SetAddress(const std::string& address);
-  void Start();
+  void Start() { WriteOwnEntry(); }
   // A router has said who and where it is.
   void OnHello(const FleetMember& member);
 
   const FleetDirectory& directory() const { return directory_; }
-  // The routers of a fleet that starts have had time to write their entries.
+  // The list was read for the second time, so that routers that started
+  // together with this one have had time to write their entries.
   bool settled() const { return settled_; }
 
  private:
-  void Register();
-  void Read();
+  void WriteOwnEntry();
+  void ReadEntries();
   void OnSnapshot(const StoreSnapshot& snapshot);
-  void After(Duration delay, void (FleetDriver::*step)());
+  std::vector<FleetMember> OthersIn(const StoreSnapshot& snapshot) const;
+  // Runs `step` after `delay`, more or less.
+  void RunLater(Duration delay, void (FleetDriver::*step)());
 
   Loop& loop_;
   KvStore& store_;
   FleetDirectory directory_;
   std::function<void()> changed_;
   bool settled_ = false;
-  // Time to the next read.
+  // From the next read to the one after it.
   Duration interval_;
   std::minstd_rand random_{std::random_device{}()};
   KvStore::CallPtr call_;
