--- a/fleet/fleet.cc
+++ b/fleet/fleet.cc
@@ -81,17 +81,18 @@
   return NamesOf(holders);
 }
 
-std::vector<FleetMember> FleetDirectory::Linked() const {
+std::vector<FleetMember> FleetDirectory::MembersToLink() const {
   std::vector<FleetMember> out = OtherHolders();
   if (IsHolder(self_)) return out;
-  const auto elsewhere = std::stable_partition(
+  const auto own_hall_end = std::stable_partition(
       out.begin(), out.end(),
       [&](const FleetMember& it) { return it.hall == self().hall; });
-  std::vector<FleetMember> others(elsewhere, out.end());
-  out.erase(elsewhere, out.end());
-  SortByWeight(self_.value, others);
-  others.resize(std::min(others.size(), options_.links_elsewhere));
-  out.insert(out.end(), others.begin(), others.end());
+  std::vector<FleetMember> other_halls(own_hall_end, out.end());
+  out.erase(own_hall_end, out.end());
+  SortByWeight(self_.value, other_halls);
+  other_halls.resize(
+      std::min(other_halls.size(), options_.links_to_other_halls));
+  out.insert(out.end(), other_halls.begin(), other_halls.end());
   return out;
 }
 
--- a/fleet/testing/fleet_test.cc
+++ b/fleet/testing/fleet_test.cc
@@ -30,7 +30,7 @@
 BOOST_AUTO_TEST_CASE(InASmallFleetAllKeepBudgets) {
   const FleetDirectory fleet = Fleet(8);
   for (int n = 0; n < 8; ++n) BOOST_TEST(fleet.IsHolder(Member(n).vm));
-  BOOST_TEST(fleet.Linked().size() == 7U);
+  BOOST_TEST(fleet.MembersToLink().size() == 7U);
 }
 
 BOOST_AUTO_TEST_CASE(InALargeOneThreeOfEachHallDoAndAllAgree) {
@@ -70,7 +70,7 @@
   for (int self = 0; self < kLarge; ++self) {
     const FleetDirectory fleet = Fleet(kLarge, self);
     const std::size_t most = fleet.IsHolder(Member(self).vm) ? 8 : 5;
-    BOOST_TEST(fleet.Linked().size() <= most);
+    BOOST_TEST(fleet.MembersToLink().size() <= most);
   }
 }
 
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -204,7 +204,7 @@
 void RelayRouter::OnFleetChanged() {
   const FleetDirectory& directory = fleet_.directory();
   retries_.SetRouters(directory.size());
-  peers_.SetDialled(directory.Linked());
+  peers_.SetDialled(directory.MembersToLink());
   if (fleet_.settled()) budgets_.TakePartIfHolder();
 }
 
