--- a/relay/peer_mesh.cc
+++ b/relay/peer_mesh.cc
@@ -9,8 +9,13 @@
 namespace quaytrack {
 namespace {
 
-constexpr Duration kTick = std::chrono::milliseconds(1000);
-constexpr Duration kMostSilence = std::chrono::milliseconds(3500);
+// Between two signs of life. Not measured. It bounds, with kOwnWaitFirst
+// (relay/own_wait.h), how soon a router whose store doesn't serve it learns of
+// a configuration: the users allow 2 s.
+constexpr Duration kCheckInterval = std::chrono::milliseconds(1000);
+// After this a link counts as cut: three signs of life are missing. Not
+// measured.
+constexpr Duration kMaxSilence = std::chrono::milliseconds(3500);
 
 }  // namespace
 
@@ -24,39 +29,36 @@
               [this](std::shared_ptr<PeerLink> link) {
                 auto it = std::make_shared<Link>();
                 it->link = std::move(link);
-                Adopt(it);
+                AddLink(it);
               }),
-      tick_(loop.Every(kTick, [this] { Tick(); })) {}
+      check_timer_(loop.Every(kCheckInterval, [this] { CheckLinks(); })) {}
 
 std::uint16_t PeerMesh::Listen(const std::string& address) {
   return server_.Listen(address);
 }
 
-void PeerMesh::Adopt(const LinkPtr& it) {
+// --- A link's life -----------------------------------------------------------
+
+void PeerMesh::AddLink(const LinkPtr& it) {
   it->heard = clock_.Now();
   links_.insert(it);
+  // The link's handlers must not keep it alive.
   const std::weak_ptr<Link> weak = it;
   PeerLink::Handlers on;
   on.open = [this, weak] {
-    const auto link = weak.lock();
-    if (!link) return;
-    const PeerMessage hello = SignOfLife(PeerMessageKind::kHello);
-    link->link->Send(EncodePeerMessage(hello));
+    if (const auto link = weak.lock()) SendHello(*link);
   };
   on.message = [this, weak](const std::string& bytes) {
     if (const auto link = weak.lock()) OnMessage(link, bytes);
   };
   on.closed = [this, weak] {
-    if (const auto link = weak.lock()) Drop(link);
+    if (const auto link = weak.lock()) RemoveLink(link);
   };
   it->link->SetHandlers(std::move(on));
 }
 
-void PeerMesh::Drop(const LinkPtr& it) {
-  links_.erase(it);
-  // Its own callback may be running.
-  loop_.Post([it] {});
-  if (!it->peer.empty() && FindPeer(it->peer) == nullptr) on_.lost(it->peer);
+void PeerMesh::SendHello(const Link& it) {
+  it.link->Send(EncodePeerMessage(SignOfLife(PeerMessageKind::kHello)));
 }
 
 void PeerMesh::OnMessage(const LinkPtr& it, const std::string& bytes) {
@@ -66,107 +68,128 @@
     return;
   }
   it->heard = clock_.Now();
-  if (it->peer.empty()) OnHello(it, message->from);
+  if (it->peer.empty()) OnFirstMessage(it, message->from);
   on_.message(*message);
 }
 
-void PeerMesh::OnHello(const LinkPtr& it, const Incarnation& peer) {
+void PeerMesh::OnFirstMessage(const LinkPtr& it, const Incarnation& peer) {
   if (FindPeer(peer) == nullptr) {
     LogEvent(Event::kPeerLinked, {{"peer", peer.value}});
   }
   it->peer = peer;
-  std::vector<LinkPtr> dead;
-  for (const LinkPtr& other : links_) {
-    const bool same_vm = VmOf(other->peer) == VmOf(peer);
-    if (same_vm && other->peer != peer) dead.push_back(other);
-  }
-  for (const LinkPtr& other : dead) {
-    other->link->SetHandlers({});
-    Drop(other);
-  }
+  CloseLinksToOthersOn(VmOf(peer), peer);
 }
 
-void PeerMesh::SetDialled(const std::vector<FleetMember>& members) {
-  dialled_ = members;
-  DialMissing();
+void PeerMesh::CloseLinksToOthersOn(const VmName& vm, const Incarnation& peer) {
+  std::vector<LinkPtr> others;
+  for (const LinkPtr& it : links_) {
+    if (VmOf(it->peer) == vm && it->peer != peer) others.push_back(it);
+  }
+  for (const LinkPtr& it : others) Close(it);
 }
 
-const PeerMesh::Link* PeerMesh::FindPeer(const Incarnation& peer) const {
-  const auto it =
-      std::find_if(links_.begin(), links_.end(),
-                   [&](const LinkPtr& link) { return link->peer == peer; });
-  return it == links_.end() ? nullptr : it->get();
+void PeerMesh::Close(const LinkPtr& it) {
+  it->link->SetHandlers({});
+  RemoveLink(it);
 }
 
-Incarnation PeerMesh::Linked(const VmName& vm) const {
-  for (const LinkPtr& it : links_) {
-    if (!it->peer.empty() && VmOf(it->peer) == vm) return it->peer;
-  }
-  return {};
+void PeerMesh::RemoveLink(const LinkPtr& it) {
+  links_.erase(it);
+  // Its own callback may be running.
+  loop_.Post([it] {});
+  if (!it->peer.empty() && FindPeer(it->peer) == nullptr) on_.lost(it->peer);
 }
 
-bool PeerMesh::HasLinkTo(const VmName& vm) const {
-  return std::any_of(links_.begin(), links_.end(), [&](const LinkPtr& it) {
-    return it->dialled == vm || VmOf(it->peer) == vm;
-  });
+// --- Which links there are ---------------------------------------------------
+
+void PeerMesh::KeepLinksTo(const std::vector<FleetMember>& members) {
+  to_keep_ = members;
+  DialMissing();
 }
 
-std::size_t PeerMesh::linked() const {
-  std::set<Incarnation> peers;
-  for (const LinkPtr& it : links_) {
-    if (!it->peer.empty()) peers.insert(it->peer);
+void PeerMesh::DialMissing() {
+  for (const FleetMember& it : to_keep_) {
+    if (!HasLinkTo(it.vm)) Dial(it);
   }
-  return peers.size();
 }
 
 void PeerMesh::Dial(const FleetMember& member) {
   auto it = std::make_shared<Link>();
   it->dialled = member.vm;
   it->link = PeerLink::Connect(loop_, member.address, {});
-  if (it->link) Adopt(it);
+  if (it->link) AddLink(it);
+}
+
+void PeerMesh::CheckLinks() {
+  CloseSilent();
+  BroadcastSignOfLife();
+  DialMissing();
 }
 
-void PeerMesh::Tick() {
+void PeerMesh::CloseSilent() {
   const Instant now = clock_.Now();
   std::vector<LinkPtr> silent;
   for (const LinkPtr& it : links_) {
-    if (now - it->heard > kMostSilence) silent.push_back(it);
+    if (now - it->heard > kMaxSilence) silent.push_back(it);
   }
   for (const LinkPtr& it : silent) {
     LogEvent(Event::kPeerLinkLost, {{"peer", it->peer.value}});
-    it->link->SetHandlers({});
-    Drop(it);
+    Close(it);
   }
-  Ping();
-  DialMissing();
 }
 
-void PeerMesh::DialMissing() {
-  for (const FleetMember& it : dialled_) {
-    if (!HasLinkTo(it.vm)) Dial(it);
+const PeerMesh::Link* PeerMesh::FindPeer(const Incarnation& peer) const {
+  const auto it =
+      std::find_if(links_.begin(), links_.end(),
+                   [&](const LinkPtr& link) { return link->peer == peer; });
+  return it == links_.end() ? nullptr : it->get();
+}
+
+Incarnation PeerMesh::LinkedOn(const VmName& vm) const {
+  for (const LinkPtr& it : links_) {
+    if (!it->peer.empty() && VmOf(it->peer) == vm) return it->peer;
   }
+  return {};
 }
 
+bool PeerMesh::HasLinkTo(const VmName& vm) const {
+  return std::any_of(links_.begin(), links_.end(), [&](const LinkPtr& it) {
+    return it->dialled == vm || VmOf(it->peer) == vm;
+  });
+}
+
+std::size_t PeerMesh::peers() const {
+  std::set<Incarnation> out;
+  for (const LinkPtr& it : links_) {
+    if (!it->peer.empty()) out.insert(it->peer);
+  }
+  return out.size();
+}
+
+// --- Messages ----------------------------------------------------------------
+
 PeerMessage PeerMesh::SignOfLife(PeerMessageKind kind) const {
   PeerMessage out;
   out.kind = kind;
   out.from = self_;
-  on_.describe(out);
+  on_.fill(out);
   return out;
 }
 
-void PeerMesh::Ping() { Broadcast(SignOfLife(PeerMessageKind::kPing)); }
+void PeerMesh::BroadcastSignOfLife() {
+  Broadcast(SignOfLife(PeerMessageKind::kPing));
+}
 
 void PeerMesh::Broadcast(const PeerMessage& message) {
   const std::string bytes = EncodePeerMessage(message);
-  std::set<Incarnation> told;
+  std::set<Incarnation> sent;
   for (const LinkPtr& it : links_) {
-    if (it->peer.empty() || !told.insert(it->peer).second) continue;
+    if (it->peer.empty() || !sent.insert(it->peer).second) continue;
     it->link->Send(bytes);
   }
 }
 
-void PeerMesh::Tell(const Incarnation& peer, const PeerMessage& message) {
+void PeerMesh::SendTo(const Incarnation& peer, const PeerMessage& message) {
   const Link* it = FindPeer(peer);
   if (it != nullptr) it->link->Send(EncodePeerMessage(message));
 }
--- a/relay/peer_mesh.h
+++ b/relay/peer_mesh.h
@@ -1,9 +1,28 @@
-// Links to other routers. Whom to dial comes from the list of routers
-// (fleet/fleet.h); the links stay up while the store is away.
+// PeerMesh keeps the links to other routers, and carries their messages.
 //
-// Either side may dial, and each says first who it is. A link on which nothing
-// was heard for a while is closed and dialled again, since a cut says nothing.
-// A later incarnation of a VM ends the links to an earlier one.
+//   PeerMesh peers(loop, clock, self, handlers);
+//   peers.Listen("10.0.0.7:8082");
+//   peers.KeepLinksTo(fleet.MembersToLink());
+//   peers.Broadcast(message);
+//   peers.SendTo(peer, message);      // dropped if the peer isn't linked
+//
+// Whom to dial comes from the list of routers (fleet/fleet.h). The links don't
+// need the store, so they stay up while it is away.
+//
+// Opening a link. Either side may dial, and each first says who it is (hello).
+// If both dial, there are two links between them; a message takes one of them.
+// A VM runs one router, so a hello of another incarnation of a VM ends the
+// links to the one before it: its process has ended.
+//
+// Losing a link. A cut says nothing, so a link on which nothing was heard for
+// `kMaxSilence` is closed, and dialled again if it is one to keep. Each router
+// sends a sign of life on all links every `kCheckInterval`, with the versions
+// that it knows, so that a peer learns of a change even if the store doesn't
+// tell it (relay/config_follower.h, relay/target_follower.h).
+//
+// It owns the links and the listener. Messages aren't acknowledged and may be
+// lost with a link; who needs an answer asks again. A message that can't be
+// read is dropped with a line in the log. Loop and clock must outlive the mesh.
 
 #ifndef QUAYTRACK_RELAY_PEER_MESH_H_
 #define QUAYTRACK_RELAY_PEER_MESH_H_
@@ -26,26 +45,30 @@
  public:
   struct Handlers {
     std::function<void(const PeerMessage& message)> message;
-    // Adds what is in force here to a sign of life, and where this router is to
-    // one that opens a link.
-    std::function<void(PeerMessage& sign)> describe;
+    // Adds what is in force here to a sign of life, and to a hello also where
+    // this router is.
+    std::function<void(PeerMessage& sign)> fill;
     // The last link to a peer is gone.
     std::function<void(const Incarnation& peer)> lost;
   };
 
   PeerMesh(Loop& loop, const Clock& clock, Incarnation self, Handlers handlers);
 
-  // Returns the bound port, or 0.
+  // Takes "host:port". Returns the bound port, or 0.
   std::uint16_t Listen(const std::string& address);
-  // Those to keep a link to.
-  void SetDialled(const std::vector<FleetMember>& members);
+  // Dials those of `members` to whom no link is open, now and whenever one is
+  // lost. Links that others opened stay.
+  void KeepLinksTo(const std::vector<FleetMember>& members);
+  // To each linked peer once.
   void Broadcast(const PeerMessage& message);
-  void Tell(const Incarnation& peer, const PeerMessage& message);
+  // To one peer, if it is linked.
+  void SendTo(const Incarnation& peer, const PeerMessage& message);
   // Tells all peers at once what is in force here.
-  void Ping();
+  void BroadcastSignOfLife();
   // The incarnation that is linked on a VM; empty if none is.
-  Incarnation Linked(const VmName& vm) const;
-  std::size_t linked() const;
+  Incarnation LinkedOn(const VmName& vm) const;
+  // How many peers are linked.
+  std::size_t peers() const;
 
  private:
   struct Link {
@@ -54,30 +77,37 @@
     VmName dialled;
     // Empty until the peer has said who it is.
     Incarnation peer;
+    // When the link was opened or something last came on it.
     Instant heard{};
   };
   using LinkPtr = std::shared_ptr<Link>;
 
-  void Adopt(const LinkPtr& it);
+  void AddLink(const LinkPtr& it);
+  void SendHello(const Link& it);
   void OnMessage(const LinkPtr& it, const std::string& bytes);
-  void OnHello(const LinkPtr& it, const Incarnation& peer);
+  void OnFirstMessage(const LinkPtr& it, const Incarnation& peer);
+  void CloseLinksToOthersOn(const VmName& vm, const Incarnation& peer);
   // A link to the VM is there, or is being opened.
   bool HasLinkTo(const VmName& vm) const;
   void Dial(const FleetMember& member);
   void DialMissing();
-  void Tick();
+  void CheckLinks();
+  void CloseSilent();
   const Link* FindPeer(const Incarnation& peer) const;
   PeerMessage SignOfLife(PeerMessageKind kind) const;
-  void Drop(const LinkPtr& it);
+  // Ends a link from this side.
+  void Close(const LinkPtr& it);
+  // Forgets a link that has ended.
+  void RemoveLink(const LinkPtr& it);
 
   Loop& loop_;
   const Clock& clock_;
   Incarnation self_;
   Handlers on_;
   PeerServer server_;
-  std::vector<FleetMember> dialled_;
+  std::vector<FleetMember> to_keep_;
   std::set<LinkPtr> links_;
-  std::unique_ptr<Timer> tick_;
+  std::unique_ptr<Timer> check_timer_;
 };
 
 }  // namespace quaytrack
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -128,9 +128,9 @@
   BudgetDriver::Handlers out;
   out.broadcast = [this](const PeerMessage& it) { peers_.Broadcast(it); };
   out.tell = [this](const Incarnation& peer, const PeerMessage& it) {
-    peers_.Tell(peer, it);
+    peers_.SendTo(peer, it);
   };
-  out.linked = [this](const VmName& vm) { return peers_.Linked(vm); };
+  out.linked = [this](const VmName& vm) { return peers_.LinkedOn(vm); };
   out.store_reachable = [this](bool reachable) {
     configs_.OnStoreReachable(reachable);
   };
@@ -140,7 +140,7 @@
 PeerMesh::Handlers RelayRouter::PeerHandlers() {
   PeerMesh::Handlers out;
   out.message = [this](const PeerMessage& it) { OnPeer(it); };
-  out.describe = [this](PeerMessage& it) {
+  out.fill = [this](PeerMessage& it) {
     it.config_version = configs_.version();
     it.targets_revision = configs_.targets_revision();
     it.keeps_budgets = budgets_.ledger().KeepsGrants();
@@ -204,7 +204,7 @@
 void RelayRouter::OnFleetChanged() {
   const FleetDirectory& directory = fleet_.directory();
   retries_.SetRouters(directory.size());
-  peers_.SetDialled(directory.MembersToLink());
+  peers_.KeepLinksTo(directory.MembersToLink());
   if (fleet_.settled()) budgets_.TakePartIfHolder();
 }
 
@@ -212,7 +212,7 @@
   const ServiceMapPtr& map = configs_.map();
   caller_server_.SetLimits(LimitsOf(map->limits()));
   budgets_.SetConfig(*map);
-  peers_.Ping();
+  peers_.BroadcastSignOfLife();
   if (announced_ready_) return;
   announced_ready_ = true;
   LogEvent(Event::kReady, {{"config", std::to_string(map->version())}});
@@ -232,7 +232,7 @@
 
 void RelayRouter::TellPeer(const Incarnation& peer, PeerMessage message) {
   message.from = self_;
-  peers_.Tell(peer, message);
+  peers_.SendTo(peer, message);
 }
 
 // --- Operators and the balancer ----------------------------------------------
@@ -252,7 +252,7 @@
   metrics_.SetGauge("flows", static_cast<double>(context_.requests.size()));
   metrics_.SetGauge("callers",
                     static_cast<double>(caller_server_.connections()));
-  metrics_.SetGauge("peers_linked", static_cast<double>(peers_.linked()));
+  metrics_.SetGauge("peers_linked", static_cast<double>(peers_.peers()));
   metrics_.SetGauge("link_load", link_.load());
   metrics_.SetGauge("config_version", static_cast<double>(configs_.version()));
   metrics_.SetGauge("store_calls", static_cast<double>(store_.calls()));
--- a/relay/testing/peer_mesh_test.cc
+++ b/relay/testing/peer_mesh_test.cc
@@ -36,7 +36,7 @@
   PeerMesh::Handlers Handlers() {
     PeerMesh::Handlers out;
     out.message = [this](const PeerMessage& it) { heard.push_back(it); };
-    out.describe = [this](PeerMessage& it) { it.config_version = version; };
+    out.fill = [this](PeerMessage& it) { it.config_version = version; };
     out.lost = [this](const Incarnation& it) { lost.push_back(it); };
     return out;
   }
@@ -59,7 +59,7 @@
 struct Fixture {
   // One dials the other, and both have said who they are.
   void Link(Router& from, const Router& to) {
-    from.mesh.SetDialled({to.Member()});
+    from.mesh.KeepLinksTo({to.Member()});
     RunFor(loop, kOpened);
   }
 
@@ -69,30 +69,30 @@
 };
 
 BOOST_FIXTURE_TEST_CASE(BothEndsOfALinkLearnWhoIsThere, Fixture) {
-  BOOST_TEST(one.mesh.Linked(VmName("vm-2")).empty());
+  BOOST_TEST(one.mesh.LinkedOn(VmName("vm-2")).empty());
   Link(one, two);
-  BOOST_TEST((one.mesh.Linked(VmName("vm-2")) == two.self));
-  BOOST_TEST((two.mesh.Linked(VmName("vm-1")) == one.self));
+  BOOST_TEST((one.mesh.LinkedOn(VmName("vm-2")) == two.self));
+  BOOST_TEST((two.mesh.LinkedOn(VmName("vm-1")) == one.self));
   BOOST_TEST(one.Count(PeerMessageKind::kHello) == 1);
   BOOST_TEST(two.Count(PeerMessageKind::kHello) == 1);
   BOOST_TEST(two.heard.at(0).config_version == 7U);
-  BOOST_TEST(one.mesh.linked() == 1U);
+  BOOST_TEST(one.mesh.peers() == 1U);
 }
 
 // A peer that dials meanwhile makes a second link; each is told once.
 BOOST_FIXTURE_TEST_CASE(APeerWithTwoLinksIsToldOnce, Fixture) {
-  one.mesh.SetDialled({two.Member()});
-  two.mesh.SetDialled({one.Member()});
+  one.mesh.KeepLinksTo({two.Member()});
+  two.mesh.KeepLinksTo({one.Member()});
   RunFor(loop, kOpened);
-  BOOST_TEST(one.mesh.linked() == 1U);
+  BOOST_TEST(one.mesh.peers() == 1U);
   PeerMessage message;
   message.kind = PeerMessageKind::kAsk;
   message.from = one.self;
   one.mesh.Broadcast(message);
   RunFor(loop, kOpened);
   BOOST_TEST(two.Count(PeerMessageKind::kAsk) == 1);
-  one.mesh.Tell(two.self, message);
-  one.mesh.Tell(Incarnation("vm-2@b"), message);
+  one.mesh.SendTo(two.self, message);
+  one.mesh.SendTo(Incarnation("vm-2@b"), message);
   RunFor(loop, kOpened);
   BOOST_TEST(two.Count(PeerMessageKind::kAsk) == 2);
 }
@@ -100,7 +100,7 @@
 BOOST_FIXTURE_TEST_CASE(PeersShowWhatIsInForceEachSecondAndAtOnce, Fixture) {
   Link(one, two);
   one.version = 8;
-  one.mesh.Ping();
+  one.mesh.BroadcastSignOfLife();
   RunFor(loop, kOpened);
   BOOST_TEST(two.Count(PeerMessageKind::kPing) == 1);
   BOOST_TEST(two.heard.back().config_version == 8U);
@@ -116,7 +116,7 @@
   BOOST_REQUIRE(one.lost.size() == 1U);
   BOOST_TEST((one.lost[0] == two.self));
   RunFor(loop, kOpened);
-  BOOST_TEST((one.mesh.Linked(VmName("vm-2")) == two.self));
+  BOOST_TEST((one.mesh.LinkedOn(VmName("vm-2")) == two.self));
   BOOST_TEST(one.Count(PeerMessageKind::kHello) == 2);
 }
 
@@ -132,9 +132,9 @@
 BOOST_FIXTURE_TEST_CASE(ALaterIncarnationEndsTheLinksToAnEarlier, Fixture) {
   Link(one, two);
   Router later{loop, "vm-2@b"};
-  later.mesh.SetDialled({one.Member()});
+  later.mesh.KeepLinksTo({one.Member()});
   RunFor(loop, kOpened);
-  BOOST_TEST((one.mesh.Linked(VmName("vm-2")) == later.self));
+  BOOST_TEST((one.mesh.LinkedOn(VmName("vm-2")) == later.self));
   BOOST_REQUIRE(one.lost.size() == 1U);
   BOOST_TEST((one.lost[0] == two.self));
 }
