--- a/cli/relay_command.cc
+++ b/cli/relay_command.cc
@@ -38,7 +38,7 @@
                      connections, store, charts);
   if (!router.Listen()) return kExitRefused;
   for (int it : {SIGTERM, SIGINT}) {
-    loop.OnSignal(it, [&] { router.Drain(); });
+    loop.OnSignal(it, [&] { router.StartPlannedStop(); });
   }
   // Nothing of the settings can change while the process runs.
   loop.OnSignal(SIGHUP, [] { LogEvent(Event::kReloadAsked, {}); });
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -14,12 +14,6 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kTick = milliseconds(200);
-// From turning unready until the balancer sends no new connections: it asks
-// every second, and two answers in a row decide.
-constexpr Duration kBalancerTime = milliseconds(2600);
-// Kept of the time to stop, for returning grants and leaving.
-constexpr Duration kStopMargin = milliseconds(1500);
-constexpr Duration kReturnTime = milliseconds(800);
 constexpr std::size_t kIncarnationBytes = 4;
 constexpr double kBytesPerMegabit = 1e6 / 8;
 // A packet's headers, of data or of an acknowledgement.
@@ -55,6 +49,12 @@
   return out;
 }
 
+PlannedStopTimes StopTimes(const RelaySettings& settings) {
+  PlannedStopTimes out;
+  out.total = settings.drain_time;
+  return out;
+}
+
 CallerLimits LimitsOf(const RequestLimits& limits) {
   CallerLimits out;
   out.http.max_head_bytes = limits.max_head_bytes;
@@ -103,7 +103,7 @@
       caller_server_(loop, clock),
       admin_server_(loop, clock),
       metrics_server_(loop, clock),
-      drain_(charts.drain),
+      stop_(loop, charts.drain, StopTimes(settings), StopHandlers()),
       link_({settings.link_mbps * kBytesPerMegabit}) {
   fleet_.OnChanged([this] { OnFleetChanged(); });
   budgets_.SetHandlers(BudgetHandlers());
@@ -167,6 +167,24 @@
   return out;
 }
 
+PlannedStop::Handlers RelayRouter::StopHandlers() {
+  PlannedStop::Handlers out;
+  out.report_unready = [this] {
+    LogEvent(Event::kDrainStarted, {{"incarnation", self_.value}});
+    caller_server_.StartClosing();
+    budgets_.StopServing();
+  };
+  out.stop_listening = [this] { caller_server_.StopListening(); };
+  out.close_idle = [this] { caller_server_.CloseIdle(); };
+  out.return_grants = [this] { budgets_.StartLeaving(); };
+  out.requests = [this] { return context_.requests.size(); };
+  out.grants_returned = [this] { return budgets_.ledger().HasLeft(); };
+  out.finished = [this] {
+    LogEvent(Event::kDrainFinished, {{"incarnation", self_.value}});
+  };
+  return out;
+}
+
 bool RelayRouter::Listen() {
   // Leaves the bound port in `address`.
   const auto bind = [](const char* setting, std::string& address,
@@ -201,7 +219,7 @@
                              {"hall", settings_.hall},
                              {"listen", settings_.listen}});
   tick_ = loop_.Every(kTick, [this] {
-    CheckDrain();
+    stop_.Check();
     WatchLink();
   });
   configs_.Start();
@@ -212,9 +230,8 @@
 
 // --- State -------------------------------------------------------------------
 
-bool RelayRouter::Ready() const {
-  return drain_.state() == DrainState::kServing && configs_.map() != nullptr &&
-         !link_.IsBusy();
+bool RelayRouter::IsReady() const {
+  return !stop_.started() && configs_.map() != nullptr && !link_.IsBusy();
 }
 
 // From every user of the store: the followers and the budgets.
@@ -256,7 +273,7 @@
   HttpHead head;
   head.status = 404;
   if (request.head.Path() == settings_.ready_path) {
-    head.status = Ready() ? 200 : 503;
+    head.status = IsReady() ? 200 : 503;
   }
   caller->Reply(head, "");
 }
@@ -294,51 +311,4 @@
             {"requests", std::to_string(context_.requests.size())}});
 }
 
-// --- Planned stop ------------------------------------------------------------
-
-void RelayRouter::ApplyDrain(DrainEvent event) {
-  switch (drain_.Apply(event)) {
-    case DrainAction::kNone:
-      return;
-    case DrainAction::kReportUnready:
-      LogEvent(Event::kDrainStarted, {{"incarnation", self_.value}});
-      caller_server_.StartClosing();
-      budgets_.StopServing();
-      drain_timer_ = loop_.After(
-          kBalancerTime, [this] { ApplyDrain(DrainEvent::kBalancerNoticed); });
-      return;
-    case DrainAction::kStopListening:
-      caller_server_.StopListening();
-      caller_server_.CloseIdle();
-      drain_timer_ = loop_.After(
-          settings_.drain_time - kBalancerTime - kStopMargin, [this] {
-            LogEvent(Event::kDrainTimedOut,
-                     {{"requests", std::to_string(context_.requests.size())}});
-            ApplyDrain(DrainEvent::kTimeUp);
-          });
-      return;
-    case DrainAction::kReturnGrants:
-      budgets_.StartLeaving();
-      drain_timer_ =
-          loop_.After(kReturnTime, [this] { ApplyDrain(DrainEvent::kTimeUp); });
-      return;
-    case DrainAction::kExit:
-      LogEvent(Event::kDrainFinished, {{"incarnation", self_.value}});
-      exit_timer_ = loop_.After(milliseconds(20), [this] { loop_.Stop(); });
-      return;
-  }
-}
-
-void RelayRouter::CheckDrain() {
-  const bool finishing = drain_.state() == DrainState::kFinishing;
-  if (finishing && context_.requests.empty()) {
-    caller_server_.CloseIdle();
-    ApplyDrain(DrainEvent::kRequestsEnded);
-  }
-  const bool returning = drain_.state() == DrainState::kReturning;
-  if (returning && budgets_.ledger().HasLeft()) {
-    ApplyDrain(DrainEvent::kLedgerReturned);
-  }
-}
-
 }  // namespace quaytrack
--- a/relay/relay_router.h
+++ b/relay/relay_router.h
@@ -18,6 +18,7 @@
 #include "relay/config_follower.h"
 #include "relay/fleet_driver.h"
 #include "relay/peer_mesh.h"
+#include "relay/planned_stop.h"
 #include "relay/relay_chart.h"
 #include "relay/relay_context.h"
 #include "relay/relay_metrics.h"
@@ -45,14 +46,15 @@
   bool Listen();
   void Start();
   // Starts a planned stop; `Loop::Run` returns when it is over.
-  void Drain() { ApplyDrain(DrainEvent::kStopAsked); }
+  void StartPlannedStop() { stop_.Start(); }
 
  private:
-  bool Ready() const;
+  bool IsReady() const;
   BudgetDriver::Handlers BudgetHandlers();
   ConfigFollower::Handlers ConfigHandlers();
   TargetFollower::Handlers TargetHandlers();
   PeerMesh::Handlers PeerHandlers();
+  PlannedStop::Handlers StopHandlers();
   void OnStoreReachable(bool reachable);
   void OnFleetChanged();
   void OnConfigAdopted();
@@ -60,8 +62,6 @@
   void AnswerAdmin(const std::shared_ptr<CallerConnection>& caller,
                    const CallerRequest& request);
   void AnswerMetrics(const std::shared_ptr<CallerConnection>& caller);
-  void ApplyDrain(DrainEvent event);
-  void CheckDrain();
   void WatchLink();
 
   Loop& loop_;
@@ -85,10 +85,8 @@
   CallerServer caller_server_;
   CallerServer admin_server_;
   CallerServer metrics_server_;
-  ChartMachine<DrainState, DrainEvent, DrainAction> drain_;
+  PlannedStop stop_;
   std::unique_ptr<Timer> tick_;
-  std::unique_ptr<Timer> drain_timer_;
-  std::unique_ptr<Timer> exit_timer_;
   LinkWatch link_;
   bool announced_ready_ = false;
 };
--- /dev/null
+++ b/relay/testing/planned_stop_test.cc
@@ -0,0 +1,136 @@
+// The steps of a planned stop, and what ends each.
+
+#include "relay/planned_stop.h"
+
+#include <boost/test/unit_test.hpp>
+#include <stdexcept>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "relay/testing/scripted_store.h"
+
+namespace quaytrack {
+namespace {
+
+using std::chrono::milliseconds;
+using Steps = std::vector<std::string>;
+
+// From the start: finishing at 100 ms, out of time at 300 ms.
+PlannedStopTimes Times() {
+  PlannedStopTimes out;
+  out.total = milliseconds(400);
+  out.balancer = milliseconds(100);
+  out.margin = milliseconds(100);
+  out.returning = milliseconds(80);
+  out.last_writes = milliseconds(5);
+  return out;
+}
+
+DrainChart BoundChart() {
+  return boost::leaf::try_handle_all(
+      [] { return BindDrainChart(); },
+      []() -> DrainChart { throw std::runtime_error("no chart"); });
+}
+
+struct Fixture {
+  Fixture() : stop(loop, chart, Times(), Handlers()) {}
+
+  PlannedStop::Handlers Handlers() {
+    PlannedStop::Handlers out;
+    out.report_unready = [this] { steps.emplace_back("report_unready"); };
+    out.stop_listening = [this] { steps.emplace_back("stop_listening"); };
+    out.close_idle = [this] { steps.emplace_back("close_idle"); };
+    out.return_grants = [this] { steps.emplace_back("return_grants"); };
+    out.finished = [this] { steps.emplace_back("finished"); };
+    out.requests = [this] { return requests; };
+    out.grants_returned = [this] { return returned; };
+    return out;
+  }
+  Steps Taken() { return std::exchange(steps, {}); }
+  // Whether the loop ends by itself.
+  bool LoopEnds() {
+    bool late = false;
+    const auto guard = loop.After(std::chrono::seconds(5), [&] {
+      late = true;
+      loop.Stop();
+    });
+    loop.Run();
+    return !late;
+  }
+
+  Loop loop;
+  DrainChart chart = BoundChart();
+  Steps steps;
+  std::size_t requests = 1;
+  bool returned = false;
+  PlannedStop stop;
+};
+
+BOOST_FIXTURE_TEST_CASE(NothingHappensBeforeItIsAsked, Fixture) {
+  requests = 0;
+  returned = true;
+  stop.Check();
+  BOOST_TEST(!stop.started());
+  BOOST_TEST(Taken().empty());
+}
+
+BOOST_FIXTURE_TEST_CASE(AStopGoesThroughItsSteps, Fixture) {
+  stop.Start();
+  BOOST_TEST(stop.started());
+  BOOST_TEST((Taken() == Steps{"report_unready"}));
+  RunFor(loop, milliseconds(60));
+  // The balancer may not have noticed, though no request runs.
+  requests = 0;
+  stop.Check();
+  BOOST_TEST(Taken().empty());
+  requests = 1;
+  RunFor(loop, milliseconds(60));
+  BOOST_TEST((Taken() == Steps{"stop_listening", "close_idle"}));
+  stop.Check();
+  BOOST_TEST(Taken().empty());
+  requests = 0;
+  stop.Check();
+  BOOST_TEST((Taken() == Steps{"close_idle", "return_grants"}));
+  stop.Check();
+  BOOST_TEST(Taken().empty());
+  returned = true;
+  stop.Check();
+  BOOST_TEST((Taken() == Steps{"finished"}));
+  BOOST_TEST(LoopEnds());
+}
+
+BOOST_FIXTURE_TEST_CASE(RequestsThatDontEndAreNotWaitedForUntilTheKill,
+                        Fixture) {
+  stop.Start();
+  RunFor(loop, milliseconds(250));
+  Taken();
+  RunFor(loop, milliseconds(100));
+  BOOST_TEST((Taken() == Steps{"return_grants"}));
+}
+
+BOOST_FIXTURE_TEST_CASE(GrantsThatDontComeBackAreNotWaitedForUntilTheKill,
+                        Fixture) {
+  stop.Start();
+  RunFor(loop, milliseconds(120));
+  requests = 0;
+  stop.Check();
+  Taken();
+  // Before the time for requests would be up.
+  RunFor(loop, milliseconds(130));
+  BOOST_TEST((Taken() == Steps{"finished"}));
+}
+
+BOOST_FIXTURE_TEST_CASE(AskedTwiceItIsTheSameStop, Fixture) {
+  stop.Start();
+  RunFor(loop, milliseconds(60));
+  stop.Start();
+  RunFor(loop, milliseconds(60));
+  BOOST_TEST(
+      (Taken() == Steps{"report_unready", "stop_listening", "close_idle"}));
+  stop.Start();
+  BOOST_TEST(Taken().empty());
+}
+
+}  // namespace
+}  // namespace quaytrack
