--- /dev/null
+++ b/relay/relay_options.h
@@ -0,0 +1,61 @@
+// What the parts of the relay are given of the settings (relay_settings.h) and
+// of the configuration. A field that isn't set here keeps the default of the
+// part's own options, where its unit and origin stand.
+//
+//   FleetDriver fleet(loop, store, self, FleetOptionsFrom(settings));
+
+#ifndef QUAYTRACK_RELAY_RELAY_OPTIONS_H_
+#define QUAYTRACK_RELAY_RELAY_OPTIONS_H_
+
+#include <cstddef>
+
+#include "config/service_map.h"
+#include "dispatch/retry_share.h"
+#include "fleet/fleet.h"
+#include "http/caller_server.h"
+#include "prepaid/prepaid_ledger.h"
+#include "relay/planned_stop.h"
+#include "relay/relay_settings.h"
+
+namespace quaytrack {
+
+inline RetryShareOptions RetryOptionsFrom(const RelaySettings& settings) {
+  RetryShareOptions out;
+  out.ratio = settings.retry_ratio;
+  out.slack = settings.retry_slack;
+  out.window = settings.retry_window;
+  return out;
+}
+
+inline FleetOptions FleetOptionsFrom(const RelaySettings& settings) {
+  FleetOptions out;
+  out.small_fleet = static_cast<std::size_t>(settings.small_fleet);
+  out.holders_per_hall = static_cast<std::size_t>(settings.holders_per_hall);
+  return out;
+}
+
+inline PrepaidPolicy PrepaidPolicyFrom(const RelaySettings& settings) {
+  PrepaidPolicy out;
+  out.baseline_share = settings.standing_share;
+  out.headroom = settings.cover;
+  return out;
+}
+
+inline PlannedStopTimes PlannedStopTimesFrom(const RelaySettings& settings) {
+  PlannedStopTimes out;
+  out.total = settings.drain_time;
+  return out;
+}
+
+inline CallerLimits CallerLimitsFrom(const RequestLimits& limits) {
+  CallerLimits out;
+  out.http.max_head_bytes = limits.max_head_bytes;
+  out.http.max_body_bytes = limits.max_body_bytes;
+  out.head_timeout = limits.head_timeout;
+  out.idle_timeout = limits.idle_timeout;
+  return out;
+}
+
+}  // namespace quaytrack
+
+#endif  // QUAYTRACK_RELAY_RELAY_OPTIONS_H_
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -6,26 +6,18 @@
 
 #include "base/digest.h"
 #include "base/log.h"
+#include "relay/relay_options.h"
 #include "relay/relayed_request.h"
 
 namespace quaytrack {
 namespace {
 
-using std::chrono::milliseconds;
+// How often the planned stop and the link's load are looked at. Not measured;
+// it is short beside the 700 ms over which the load is smoothed.
+constexpr Duration kCheckInterval = std::chrono::milliseconds(200);
 
-constexpr Duration kTick = milliseconds(200);
+// Random bytes that tell one run of the process from another on the same VM.
 constexpr std::size_t kIncarnationBytes = 4;
-constexpr double kBytesPerMegabit = 1e6 / 8;
-// A packet's headers, of data or of an acknowledgement.
-constexpr double kHeaderBytes = 60;
-
-RetryShareOptions RetryOptions(const RelaySettings& settings) {
-  RetryShareOptions out;
-  out.ratio = settings.retry_ratio;
-  out.slack = settings.retry_slack;
-  out.window = settings.retry_window;
-  return out;
-}
 
 // Tells one boot of the machine from another; empty if it can't be read.
 std::string BootId() {
@@ -35,33 +27,18 @@
   return out;
 }
 
-FleetOptions FleetOptionsOf(const RelaySettings& settings) {
-  FleetOptions out;
-  out.small_fleet = static_cast<std::size_t>(settings.small_fleet);
-  out.holders_per_hall = static_cast<std::size_t>(settings.holders_per_hall);
-  return out;
-}
-
-PrepaidPolicy PolicyOf(const RelaySettings& settings) {
-  PrepaidPolicy out;
-  out.baseline_share = settings.standing_share;
-  out.headroom = settings.cover;
-  return out;
-}
-
-PlannedStopTimes StopTimes(const RelaySettings& settings) {
-  PlannedStopTimes out;
-  out.total = settings.drain_time;
-  return out;
-}
-
-CallerLimits LimitsOf(const RequestLimits& limits) {
-  CallerLimits out;
-  out.http.max_head_bytes = limits.max_head_bytes;
-  out.http.max_body_bytes = limits.max_body_bytes;
-  out.head_timeout = limits.head_timeout;
-  out.idle_timeout = limits.idle_timeout;
-  return out;
+// Binds `server` to `address` and leaves the bound port there. If it can't, the
+// log names the setting.
+template <class Server>
+bool ListenAt(const char* setting, std::string& address, Server& server) {
+  const std::uint16_t port = server.Listen(address);
+  if (port == 0) {
+    LogEvent(Event::kSettingRejected,
+             {{"setting", setting}, {"address", address}});
+    return false;
+  }
+  address = address.substr(0, address.rfind(':') + 1) + std::to_string(port);
+  return true;
 }
 
 }  // namespace
@@ -79,13 +56,13 @@
       store_(store),
       placement_(HallName(settings.hall)),
       fleet_(loop, store, {VmName(settings.vm), HallName(settings.hall), ""},
-             FleetOptionsOf(settings)),
+             FleetOptionsFrom(settings)),
       budgets_(loop, clock, store, fleet_.directory(),
-               {self_, BootId(), clock.Now()}, PolicyOf(settings)),
+               {self_, BootId(), clock.Now()}, PrepaidPolicyFrom(settings)),
       configs_(loop, store, interface.state, ConfigHandlers()),
       targets_(loop, store, interface.state, TargetHandlers()),
       peers_(loop, clock, self_, PeerHandlers()),
-      retries_(RetryOptions(settings)),
+      retries_(RetryOptionsFrom(settings)),
       context_{
           .loop = loop,
           .clock = clock,
@@ -103,10 +80,14 @@
       caller_server_(loop, clock),
       admin_server_(loop, clock),
       metrics_server_(loop, clock),
-      stop_(loop, charts.drain, StopTimes(settings), StopHandlers()),
-      link_({settings.link_mbps * kBytesPerMegabit}) {
+      stop_(loop, charts.drain, PlannedStopTimesFrom(settings), StopHandlers()),
+      link_(loop, clock, settings.link_mbps) {
   fleet_.OnChanged([this] { OnFleetChanged(); });
   budgets_.SetHandlers(BudgetHandlers());
+  ServeCallers();
+}
+
+void RelayRouter::ServeCallers() {
   caller_server_.Serve(
       [this](std::shared_ptr<CallerConnection> caller, CallerRequest request) {
         std::make_shared<RelayedRequest>(context_, configs_.map(),
@@ -121,6 +102,39 @@
              const CallerRequest&) { AnswerMetrics(caller); });
 }
 
+bool RelayRouter::Listen() {
+  const bool metrics =
+      settings_.metrics_listen.empty() ||
+      ListenAt("metrics-listen", settings_.metrics_listen, metrics_server_);
+  const bool all =
+      metrics && ListenAt("listen", settings_.listen, caller_server_) &&
+      ListenAt("admin-listen", settings_.admin_listen, admin_server_) &&
+      ListenAt("peer-listen", settings_.peer_listen, peers_);
+  if (!all) return false;
+  fleet_.SetAddress(settings_.peer_listen);
+  // Whoever started the process learns from this line where it listens.
+  std::printf("listening %s %s\n", settings_.listen.c_str(),
+              settings_.admin_listen.c_str());
+  std::fflush(stdout);
+  return true;
+}
+
+void RelayRouter::Start() {
+  LogEvent(Event::kStarted, {{"incarnation", self_.value},
+                             {"hall", settings_.hall},
+                             {"listen", settings_.listen}});
+  check_timer_ = loop_.Every(kCheckInterval, [this] {
+    stop_.Check();
+    CheckLink();
+  });
+  configs_.Start();
+  targets_.Start();
+  fleet_.Start();
+  budgets_.Start();
+}
+
+// --- What the parts tell each other ------------------------------------------
+
 BudgetDriver::Handlers RelayRouter::BudgetHandlers() {
   BudgetDriver::Handlers out;
   out.broadcast = [this](const PeerMessage& it) { peers_.Broadcast(it); };
@@ -155,14 +169,7 @@
 PeerMesh::Handlers RelayRouter::PeerHandlers() {
   PeerMesh::Handlers out;
   out.message = [this](const PeerMessage& it) { OnPeerMessage(it); };
-  out.fill = [this](PeerMessage& it) {
-    it.config_version = configs_.version();
-    it.targets_revision = targets_.revision();
-    it.keeps_budgets = budgets_.ledger().KeepsGrants();
-    if (it.kind != PeerMessageKind::kHello) return;
-    it.hall = fleet_.directory().self().hall;
-    it.address = fleet_.directory().self().address;
-  };
+  out.fill = [this](PeerMessage& it) { FillSignOfLife(it); };
   out.lost = [this](const Incarnation& it) { budgets_.OnPeerLost(it); };
   return out;
 }
@@ -185,55 +192,6 @@
   return out;
 }
 
-bool RelayRouter::Listen() {
-  // Leaves the bound port in `address`.
-  const auto bind = [](const char* setting, std::string& address,
-                       auto& server) {
-    const std::uint16_t port = server.Listen(address);
-    if (port != 0) {
-      address =
-          address.substr(0, address.rfind(':') + 1) + std::to_string(port);
-      return true;
-    }
-    LogEvent(Event::kSettingRejected,
-             {{"setting", setting}, {"address", address}});
-    return false;
-  };
-  const bool metrics =
-      settings_.metrics_listen.empty() ||
-      bind("metrics-listen", settings_.metrics_listen, metrics_server_);
-  const bool all =
-      metrics && bind("listen", settings_.listen, caller_server_) &&
-      bind("admin-listen", settings_.admin_listen, admin_server_) &&
-      bind("peer-listen", settings_.peer_listen, peers_);
-  if (!all) return false;
-  fleet_.SetAddress(settings_.peer_listen);
-  std::printf("listening %s %s\n", settings_.listen.c_str(),
-              settings_.admin_listen.c_str());
-  std::fflush(stdout);
-  return true;
-}
-
-void RelayRouter::Start() {
-  LogEvent(Event::kStarted, {{"incarnation", self_.value},
-                             {"hall", settings_.hall},
-                             {"listen", settings_.listen}});
-  tick_ = loop_.Every(kTick, [this] {
-    stop_.Check();
-    WatchLink();
-  });
-  configs_.Start();
-  targets_.Start();
-  fleet_.Start();
-  budgets_.Start();
-}
-
-// --- State -------------------------------------------------------------------
-
-bool RelayRouter::IsReady() const {
-  return !stop_.started() && configs_.map() != nullptr && !link_.IsBusy();
-}
-
 // From every user of the store: the followers and the budgets.
 void RelayRouter::OnStoreReachable(bool reachable) {
   if (reachable) configs_.AskStoreAgain();
@@ -249,7 +207,7 @@
 
 void RelayRouter::OnConfigAdopted() {
   const ServiceMapPtr& map = configs_.map();
-  caller_server_.SetLimits(LimitsOf(map->limits()));
+  caller_server_.SetLimits(CallerLimitsFrom(map->limits()));
   budgets_.SetConfig(*map);
   peers_.BroadcastSignOfLife();
   if (announced_ready_) return;
@@ -266,7 +224,20 @@
   targets_.OnPeerRevision(message.targets_revision);
 }
 
-// --- Operators and the balancer ----------------------------------------------
+void RelayRouter::FillSignOfLife(PeerMessage& message) const {
+  message.config_version = configs_.version();
+  message.targets_revision = targets_.revision();
+  message.keeps_budgets = budgets_.ledger().KeepsGrants();
+  if (message.kind != PeerMessageKind::kHello) return;
+  message.hall = fleet_.directory().self().hall;
+  message.address = fleet_.directory().self().address;
+}
+
+// --- The balancer and operators ----------------------------------------------
+
+bool RelayRouter::IsReady() const {
+  return !stop_.started() && configs_.map() != nullptr && !link_.IsBusy();
+}
 
 void RelayRouter::AnswerAdmin(const std::shared_ptr<CallerConnection>& caller,
                               const CallerRequest& request) {
@@ -297,14 +268,8 @@
   caller->Reply(head, metrics_.Text());
 }
 
-void RelayRouter::WatchLink() {
-  const Traffic& it = loop_.traffic();
-  const double headers =
-      kHeaderBytes * static_cast<double>(it.pieces_in + it.pieces_out);
-  const bool changed =
-      link_.Observe(clock_.Now(), static_cast<double>(it.bytes_in) + headers,
-                    static_cast<double>(it.bytes_out) + headers);
-  if (!changed) return;
+void RelayRouter::CheckLink() {
+  if (!link_.Observe()) return;
   LogEvent(link_.IsBusy() ? Event::kLinkBusy : Event::kLinkEased,
            {{"load", std::to_string(link_.load())},
             {"callers", std::to_string(caller_server_.connections())},
--- a/relay/relay_router.h
+++ b/relay/relay_router.h
@@ -1,5 +1,32 @@
-// The router process as a resident of a platform: the relay's parts, wired
-// together. Every VM runs one; none is special.
+// RelayRouter wires the parts of `quaytrack relay` together. Every VM runs one;
+// none is special.
+//
+//   RelayRouter router(loop, clock, settings, {callers, targets, state},
+//                      connections, store, drain_chart);
+//   if (!router.Listen()) return kExitRefused;
+//   router.Start();
+//   loop.Run();                   // until a planned stop is over
+//
+// Which part decides what:
+//
+//   a request              relay/relayed_request.h
+//   the target of one      dispatch/placement.h
+//   budgets                relay/budget_driver.h, prepaid/prepaid_ledger.h
+//   the configuration      relay/config_follower.h
+//   the list of targets    relay/target_follower.h
+//   the list of routers    relay/fleet_driver.h, fleet/fleet.h
+//   links to other routers relay/peer_mesh.h
+//   the VM's own link      relay/link_monitor.h, dispatch/link_watch.h
+//   a planned stop         relay/planned_stop.h
+//
+// Decided here is readiness alone, which the balancer asks for. A router is
+// ready if it has a configuration, no planned stop has started and its network
+// link is not busy. Losing the store or the peers doesn't make it unready: all
+// routers would be lost to callers at once, and each can serve what it has
+// budgets for.
+//
+// It owns all of these parts. Interface, connections, store, chart and loop
+// must outlive it.
 
 #ifndef QUAYTRACK_RELAY_RELAY_ROUTER_H_
 #define QUAYTRACK_RELAY_RELAY_ROUTER_H_
@@ -10,13 +37,13 @@
 
 #include "base/clock.h"
 #include "chart/drain_chart.h"
-#include "dispatch/link_watch.h"
 #include "http/caller_server.h"
 #include "http/target_connection.h"
 #include "net/loop.h"
 #include "relay/budget_driver.h"
 #include "relay/config_follower.h"
 #include "relay/fleet_driver.h"
+#include "relay/link_monitor.h"
 #include "relay/peer_mesh.h"
 #include "relay/planned_stop.h"
 #include "relay/relay_chart.h"
@@ -49,20 +76,22 @@
   void StartPlannedStop() { stop_.Start(); }
 
  private:
-  bool IsReady() const;
   BudgetDriver::Handlers BudgetHandlers();
   ConfigFollower::Handlers ConfigHandlers();
   TargetFollower::Handlers TargetHandlers();
   PeerMesh::Handlers PeerHandlers();
   PlannedStop::Handlers StopHandlers();
+  void ServeCallers();
+  bool IsReady() const;
   void OnStoreReachable(bool reachable);
   void OnFleetChanged();
   void OnConfigAdopted();
   void OnPeerMessage(const PeerMessage& message);
+  void FillSignOfLife(PeerMessage& message) const;
   void AnswerAdmin(const std::shared_ptr<CallerConnection>& caller,
                    const CallerRequest& request);
   void AnswerMetrics(const std::shared_ptr<CallerConnection>& caller);
-  void WatchLink();
+  void CheckLink();
 
   Loop& loop_;
   const Clock& clock_;
@@ -86,8 +115,8 @@
   CallerServer admin_server_;
   CallerServer metrics_server_;
   PlannedStop stop_;
-  std::unique_ptr<Timer> tick_;
-  LinkWatch link_;
+  LinkMonitor link_;
+  std::unique_ptr<Timer> check_timer_;
   bool announced_ready_ = false;
 };
 
