--- a/relay/testing/scripted_store.h
+++ b/kv/testing/scripted_store.h
@@ -6,8 +6,8 @@
 //
 // A call that its owner has dropped is no longer there to answer.
 
-#ifndef QUAYTRACK_RELAY_TESTING_SCRIPTED_STORE_H_
-#define QUAYTRACK_RELAY_TESTING_SCRIPTED_STORE_H_
+#ifndef QUAYTRACK_KV_TESTING_SCRIPTED_STORE_H_
+#define QUAYTRACK_KV_TESTING_SCRIPTED_STORE_H_
 
 #include <functional>
 #include <list>
@@ -103,4 +103,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_RELAY_TESTING_SCRIPTED_STORE_H_
+#endif  // QUAYTRACK_KV_TESTING_SCRIPTED_STORE_H_
--- a/relay/testing/fleet_driver_test.cc
+++ b/relay/testing/fleet_driver_test.cc
@@ -4,7 +4,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "relay/testing/scripted_store.h"
+#include "kv/testing/scripted_store.h"
 
 namespace quaytrack {
 namespace {
--- a/relay/testing/planned_stop_test.cc
+++ b/relay/testing/planned_stop_test.cc
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "relay/testing/scripted_store.h"
+#include "kv/testing/scripted_store.h"
 
 namespace quaytrack {
 namespace {
--- a/relay/testing/target_follower_test.cc
+++ b/relay/testing/target_follower_test.cc
@@ -5,8 +5,8 @@
 
 #include <boost/test/unit_test.hpp>
 
+#include "kv/testing/scripted_store.h"
 #include "relay/testing/plain_state_reader.h"
-#include "relay/testing/scripted_store.h"
 
 namespace quaytrack {
 namespace {
