--- a/kv/testing/follower_test.cc
+++ b/kv/testing/follower_test.cc
@@ -3,7 +3,11 @@
 #include "kv/follower.h"
 
 #include <boost/test/unit_test.hpp>
-#include <deque>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "kv/testing/scripted_store.h"
 
 namespace quaytrack {
 namespace {
@@ -86,5 +90,110 @@
   BOOST_TEST(!follower.HasRead(2));
 }
 
+// What the handlers of a follower were told, in order.
+struct Told {
+  StoreFollower::Handlers Handlers() {
+    StoreFollower::Handlers out;
+    out.replaced = [this](const std::vector<StoreItem>& items) {
+      lines.push_back("all " + std::to_string(items.size()));
+    };
+    out.changed = [this](const StoreChange& it) {
+      lines.push_back((it.removed ? "gone " : "new ") + it.item.key);
+    };
+    out.settled = [this] { lines.emplace_back("settled"); };
+    out.reachable = [this](bool it) {
+      lines.emplace_back(it ? "back" : "lost");
+    };
+    return out;
+  }
+  std::vector<std::string> Take() { return std::exchange(lines, {}); }
+  std::vector<std::string> lines;
+};
+
+struct FollowFixture {
+  FollowFixture() : follower(loop, store, Options(), told.Handlers()) {
+    follower.Start();
+  }
+  static StoreFollower::Options Options() {
+    StoreFollower::Options out;
+    out.prefix = "a/";
+    out.retry_after = milliseconds(20);
+    out.spacing = milliseconds(20);
+    return out;
+  }
+  bool AnswerRead(StoreEnd end) {
+    return store.AnswerRange("a/", {end, 3, {{"a/b", "", 2}}});
+  }
+  bool AnswerWait(const StoreChanges& it) { return store.AnswerWait("a/", it); }
+
+  using Lines = std::vector<std::string>;
+  // Beyond a pause with its jitter.
+  static constexpr Duration kPause = milliseconds(50);
+  Loop loop;
+  ScriptedStore store;
+  Told told;
+  StoreFollower follower;
+};
+
+BOOST_FIXTURE_TEST_CASE(ItReadsAllAndThenFollows, FollowFixture) {
+  BOOST_TEST(AnswerRead(StoreEnd::kDone));
+  BOOST_TEST((told.Take() == Lines{"all 1", "settled"}));
+  BOOST_TEST(follower.latest_change() == 2);
+  BOOST_TEST(AnswerWait({StoreEnd::kDone, false, 5, {{{"a/b", "", 5}, true}}}));
+  BOOST_TEST((told.Take() == Lines{"gone a/b", "settled"}));
+  BOOST_TEST(follower.latest_change() == 5);
+  RunFor(loop, kPause);
+  // An answer without changes tells nothing, and the next wait follows at once.
+  BOOST_TEST(AnswerWait({StoreEnd::kDone, false, 9, {}}));
+  BOOST_TEST(told.Take().empty());
+  BOOST_TEST(follower.HasRead(9));
+  BOOST_TEST(AnswerWait({StoreEnd::kDone, false, 9, {}}));
+}
+
+BOOST_FIXTURE_TEST_CASE(AForgottenHistoryIsReadAnewAtOnce, FollowFixture) {
+  AnswerRead(StoreEnd::kDone);
+  told.Take();
+  BOOST_TEST(AnswerWait({StoreEnd::kRefused, true, 0, {}}));
+  // The store is there.
+  BOOST_TEST(told.Take().empty());
+  BOOST_TEST(AnswerRead(StoreEnd::kDone));
+  BOOST_TEST((told.Take() == Lines{"all 1", "settled"}));
+}
+
+BOOST_FIXTURE_TEST_CASE(AStoreThatIsLostIsAskedUntilItIsBack, FollowFixture) {
+  AnswerRead(StoreEnd::kDone);
+  told.Take();
+  for (const StoreEnd it : {StoreEnd::kUnknown, StoreEnd::kRefused}) {
+    BOOST_TEST(AnswerWait({it, false, 0, {}}));
+    RunFor(loop, kPause);
+  }
+  // Said once.
+  BOOST_TEST((told.Take() == Lines{"lost"}));
+  BOOST_TEST(
+      AnswerWait({StoreEnd::kDone, false, 6, {{{"a/c", "", 6}, false}}}));
+  BOOST_TEST((told.Take() == Lines{"back", "new a/c", "settled"}));
+}
+
+BOOST_FIXTURE_TEST_CASE(AFirstReadThatFailsIsMadeAgain, FollowFixture) {
+  BOOST_TEST(AnswerRead(StoreEnd::kRefused));
+  RunFor(loop, kPause);
+  BOOST_TEST(AnswerRead(StoreEnd::kDone));
+  BOOST_TEST((told.Take() == Lines{"lost", "back", "all 1", "settled"}));
+}
+
+BOOST_FIXTURE_TEST_CASE(OnlyAWaitIsAskedAgain, FollowFixture) {
+  follower.AskAgain();
+  BOOST_TEST(store.calls() == 1U);
+  AnswerRead(StoreEnd::kDone);
+  follower.AskAgain();
+  BOOST_TEST(store.waits.started == 2U);
+  BOOST_TEST(AnswerWait({StoreEnd::kDone, false, 5, {{{"a/b", "", 5}, true}}}));
+  // The one before it was dropped.
+  BOOST_TEST(!AnswerWait({StoreEnd::kDone, false, 5, {}}));
+  // It pauses.
+  follower.AskAgain();
+  BOOST_TEST(store.waits.started == 2U);
+}
+
 }  // namespace
 }  // namespace quaytrack
