--- a/fleet/testing/target_registry_test.cc
+++ b/fleet/testing/target_registry_test.cc
@@ -53,5 +53,16 @@
   BOOST_TEST(!Listed("lapsed"));
 }
 
+// What the store shows may be older than what was seen before.
+BOOST_AUTO_TEST_CASE(ANameThatWasSeenLeavingStaysLeaving) {
+  TargetRegistry registry;
+  registry.Put(Entry("t", true));
+  BOOST_TEST(!registry.Put(Entry("t")));
+  BOOST_TEST(registry.entries().at(TargetName("t")).leaving);
+  BOOST_TEST(registry.Remove(TargetName("t")));
+  BOOST_TEST(registry.Put(Entry("t")));
+  BOOST_TEST(registry.entries().at(TargetName("t")).leaving);
+}
+
 }  // namespace
 }  // namespace quaytrack
