--- a/fleet/testing/fleet_test.cc
+++ b/fleet/testing/fleet_test.cc
@@ -74,6 +74,29 @@
   }
 }
 
+BOOST_AUTO_TEST_CASE(ARouterLinksToTheHoldersOfItsHallAndTwoMore) {
+  for (int self = 0; self < kLarge; ++self) {
+    const FleetDirectory fleet = Fleet(kLarge, self);
+    if (fleet.IsHolder(Member(self).vm)) continue;
+    int own_hall = 0;
+    int other_halls = 0;
+    for (const FleetMember& it : fleet.MembersToLink()) {
+      BOOST_TEST(fleet.IsHolder(it.vm));
+      ++(it.hall == Member(self).hall ? own_hall : other_halls);
+    }
+    BOOST_TEST(own_hall == 3);
+    BOOST_TEST(other_halls == 2);
+  }
+}
+
+BOOST_AUTO_TEST_CASE(HoldersLinkToEachOther) {
+  for (int self = 0; self < kLarge; ++self) {
+    const FleetDirectory fleet = Fleet(kLarge, self);
+    if (!fleet.IsHolder(Member(self).vm)) continue;
+    BOOST_TEST(fleet.MembersToLink().size() == 3U * kHalls - 1);
+  }
+}
+
 BOOST_AUTO_TEST_CASE(AnEntryIsReadAsItWasWritten) {
   const auto read = DecodeMember(EncodeMember(Member(4)));
   BOOST_REQUIRE(read.has_value());
