--- /dev/null
+++ b/relay/testing/link_monitor_test.cc
@@ -0,0 +1,77 @@
+// What counts as load of the VM's link.
+
+#include "relay/link_monitor.h"
+
+#include <boost/test/unit_test.hpp>
+
+namespace quaytrack {
+namespace {
+
+class ManualClock final : public Clock {
+ public:
+  Instant Now() const override { return now; }
+  WallTime WallNow() const override { return {}; }
+  Instant now = Instant(std::chrono::hours(1));
+};
+
+// Long beside the time over which the load is smoothed.
+constexpr int kSeconds = 8;
+
+struct Fixture {
+  // The same traffic in each of some seconds.
+  void Carry(LinkMonitor& link, const Traffic& each) {
+    link.Observe();
+    for (int n = 0; n < kSeconds; ++n) {
+      loop.traffic().bytes_in += each.bytes_in;
+      loop.traffic().bytes_out += each.bytes_out;
+      loop.traffic().pieces_in += each.pieces_in;
+      loop.traffic().pieces_out += each.pieces_out;
+      clock.now += std::chrono::seconds(1);
+      link.Observe();
+    }
+  }
+
+  Loop loop;
+  ManualClock clock;
+  // 125,000 bytes a second each way; busy from 75,000 of them.
+  LinkMonitor link{loop, clock, 1};
+};
+
+BOOST_FIXTURE_TEST_CASE(EachDirectionCounts, Fixture) {
+  Carry(link, {100000, 0, 0, 0});
+  BOOST_TEST(link.IsBusy());
+  Carry(link, {});
+  BOOST_TEST(!link.IsBusy());
+  Carry(link, {0, 100000, 0, 0});
+  BOOST_TEST(link.IsBusy());
+}
+
+BOOST_FIXTURE_TEST_CASE(DirectionsArentAdded, Fixture) {
+  Carry(link, {50000, 50000, 0, 0});
+  BOOST_TEST(!link.IsBusy());
+  BOOST_TEST(link.load() == 0.4, boost::test_tools::tolerance(0.01));
+}
+
+// Small pieces cost more in headers than in bytes, whichever way they go.
+BOOST_FIXTURE_TEST_CASE(HeadersCount, Fixture) {
+  Carry(link, {0, 0, 700, 700});
+  BOOST_TEST(link.load() == 0.672, boost::test_tools::tolerance(0.01));
+  BOOST_TEST(link.IsBusy());
+}
+
+// A packet of data in one direction is acknowledged in the other.
+BOOST_FIXTURE_TEST_CASE(HeadersCountInBothDirections, Fixture) {
+  Carry(link, {60000, 0, 300, 0});
+  BOOST_TEST(link.load() == 0.624, boost::test_tools::tolerance(0.01));
+  Carry(link, {0, 60000, 300, 0});
+  BOOST_TEST(link.load() == 0.624, boost::test_tools::tolerance(0.01));
+}
+
+BOOST_FIXTURE_TEST_CASE(ALinkThatIsNotKnownIsNeverBusy, Fixture) {
+  LinkMonitor unknown(loop, clock, 0);
+  Carry(unknown, {1000000, 1000000, 1000, 1000});
+  BOOST_TEST(!unknown.IsBusy());
+}
+
+}  // namespace
+}  // namespace quaytrack
