--- a/cli/run_process.h
+++ b/cli/run_process.h
@@ -1,5 +1,13 @@
-// What the commands that run a router share: settings are checked as a whole,
-// the log is set up, the state charts are bound, and then it serves.
+// RunProcess: what the commands that run a router share.
+//
+//   exit_code = RunProcess<RelaySettings>(flags, CheckRelaySettings,
+//                                         BindDrainChart, Serve);
+//
+// Settings are checked as a whole, and every fault is printed to standard
+// error. With --check-settings the command ends there. Otherwise the log is set
+// up, the state charts are bound, and `serve` runs until the process ends. The
+// exit code is that of `serve`, or kExitRefused for faulty settings or a chart
+// that the code can't interpret.
 
 #ifndef QUAYTRACK_CLI_RUN_PROCESS_H_
 #define QUAYTRACK_CLI_RUN_PROCESS_H_
@@ -43,7 +51,10 @@
                      std::string(NameOf(it.fault)).c_str(), it.detail.c_str());
         return static_cast<int>(kExitRefused);
       },
-      [] { return static_cast<int>(kExitRefused); });
+      [] {
+        std::fprintf(stderr, "the state charts can't be bound\n");
+        return static_cast<int>(kExitRefused);
+      });
 }
 
 }  // namespace quaytrack
