--- a/relay/planned_stop.h
+++ b/relay/planned_stop.h
@@ -54,8 +54,8 @@
   Duration margin = std::chrono::milliseconds(1500);
   // The longest time for returning grants. Not measured.
   Duration returning = std::chrono::milliseconds(800);
-  // From the last step to the end of the loop, so that what was written last
-  // still leaves. Not measured.
+  // From the last step to the end of the loop, in which what was written last
+  // can leave. Commit df506c1, without a reason; not measured.
   Duration last_writes = std::chrono::milliseconds(20);
 };
 
