--- a/claim/claim.cc
+++ b/claim/claim.cc
@@ -191,7 +191,6 @@
                          std::int64_t revision,
                          const std::vector<FoundClaim>& found) {
   std::vector<ClaimWrite> writes = std::exchange(in_flight_, {});
-  reachable_ = outcome != ClaimOutcome::kUnknown;
   due_ = now;
   if (outcome == ClaimOutcome::kUnknown) {
     due_ = now + options_.retry_after_failure;
--- a/claim/claim.h
+++ b/claim/claim.h
@@ -186,7 +186,6 @@
 
   // Claims of this router that are not stored in their last form.
   std::size_t Unstored() const { return queue_.size() + in_flight_.size(); }
-  bool reachable() const { return reachable_; }
 
  private:
   // A claim of this router that is not in its last form yet.
@@ -222,7 +221,6 @@
   std::deque<ClaimWrite> queue_;
   std::vector<ClaimWrite> in_flight_;
   Instant due_{};
-  bool reachable_ = true;
   std::vector<ClaimEvent> events_;
 };
 
--- a/evhttp/http_server.h
+++ b/evhttp/http_server.h
@@ -80,8 +80,6 @@
   void EndStream();
   // Closes the connection without an answer or an end; for stand-ins.
   void Abort();
-  bool started() const { return started_; }
-  bool ended() const { return request_ == nullptr; }
 
   // Bytes that the caller has not taken yet.
   std::size_t Unsent() const;
--- a/ledger/sync.h
+++ b/ledger/sync.h
@@ -50,7 +50,6 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "base/enum_table.h"
 #include "base/ids.h"
 #include "ledger/account.h"
 #include "ledger/bill.h"
@@ -146,14 +145,6 @@
   std::uint64_t seq = 0;
 };
 
-template <>
-struct EnumTable<HoldRefusal> {
-  static constexpr auto kEntries = std::to_array<EnumEntry<HoldRefusal>>(
-      {{HoldRefusal::kExhausted, "budget_exhausted"},
-       {HoldRefusal::kUnavailable, "budget_unavailable"},
-       {HoldRefusal::kFenced, "router_stopping"}});
-};
-
 class LedgerSync {
  public:
   LedgerSync(Incarnation self, LedgerSyncOptions options);
--- a/member/vm_tracker.h
+++ b/member/vm_tracker.h
@@ -19,7 +19,6 @@
 #include <chrono>
 #include <map>
 #include <optional>
-#include <set>
 #include <string_view>
 #include <vector>
 
@@ -58,7 +57,6 @@
 
   void OnList(Instant now, const std::vector<VmEntry>& list);
 
-  bool Listed(const VmName& vm) const { return listed_.contains(vm); }
   bool Leaving(const VmName& vm) const;
   bool Dropped(Instant now, const VmName& vm) const;
   bool Absent(Instant now, const VmName& vm) const;
--- a/router/bill_gate.h
+++ b/router/bill_gate.h
@@ -34,8 +34,6 @@
   void OnWitnessed(const RequestId& request);
   void Tick(Instant now);
 
-  std::size_t size() const { return waiting_.size(); }
-
  private:
   struct Waiting {
     std::uint64_t seq = 0;
--- a/router/forward.h
+++ b/router/forward.h
@@ -102,7 +102,6 @@
   void OnClaimStored();
   void Tick(Instant now);
 
-  const RequestBasics& basics() const { return basics_; }
   ForwardState state() const { return machine_.state(); }
 
  private:
--- a/router/peer_driver.h
+++ b/router/peer_driver.h
@@ -44,7 +44,6 @@
 
   const WitnessStore& store() const { return store_; }
   void Forget(const Incarnation& owner) { store_.Forget(owner); }
-  const Incarnation& witness() const { return witness_; }
 
  private:
   // A link on which another router is the owner.
--- a/router/router.cc
+++ b/router/router.cc
@@ -227,7 +227,6 @@
     specs.push_back(SpecOf(it));
     // Requests in flight may still need the address of a removed target.
     addresses_[it.name] = it.address;
-    target_vms_[it.name] = it.vm;
     if (it.kind == TargetKind::kEngine) polled.push_back({it.name, it.address});
   }
   targets_.SetTargets(specs);
--- a/router/router.h
+++ b/router/router.h
@@ -77,7 +77,6 @@
   RetryBudget retries_;
   std::map<GroupName, WaitQueue> queues_;
   std::map<TargetName, std::string> addresses_;
-  std::map<TargetName, VmName> target_vms_;
   BillGate gate_;
   LedgerDriver ledger_;
   ClaimDriver claims_;
