--- a/bundle/keeper.cc
+++ b/bundle/keeper.cc
@@ -65,8 +65,6 @@
           return BundleVerdict::kVersionMismatch;
         }
         bundle_ = std::make_shared<const Bundle>(std::move(bundle));
-        head_ = head;
-        text_ = std::string(text);
         return BundleVerdict::kTaken;
       },
       [] { return BundleVerdict::kUnreadable; });
--- a/bundle/keeper.h
+++ b/bundle/keeper.h
@@ -75,14 +75,10 @@
   std::uint64_t version() const { return bundle_ ? bundle_->version : 0; }
   // Null before the first bundle. Requests keep the one they began with.
   std::shared_ptr<const Bundle> bundle() const { return bundle_; }
-  const BundleHead& head() const { return head_; }
-  const std::string& text() const { return text_; }
 
  private:
   OperatorKeys keys_;
   std::shared_ptr<const Bundle> bundle_;
-  BundleHead head_;
-  std::string text_;
 };
 
 }  // namespace quaytrack
--- a/router/bundle_driver.h
+++ b/router/bundle_driver.h
@@ -23,14 +23,12 @@
 
   const BundleKeeper& keeper() const { return keeper_; }
 
-  // A head and text from a peer.
-  void Offer(const BundleHead& head, const std::string& text);
-
  private:
   void ReadHead();
   void StartWatch(std::int64_t revision);
   void OnHead(const std::string& text);
   void Fetch(const BundleHead& head);
+  void Offer(const BundleHead& head, const std::string& text);
 
   Loop& loop_;
   EtcdClient& kv_;
