--- a/etcd/etcd_client.h
+++ b/etcd/etcd_client.h
@@ -56,7 +56,6 @@
 struct EtcdGet {
   std::string key;
   bool prefix = false;
-  std::int64_t limit = 0;
   std::string end;
 };
 
--- a/etcd/etcd_json.cc
+++ b/etcd/etcd_json.cc
@@ -35,7 +35,6 @@
   Json range = {{"key", Base64Encode(it.key)}};
   if (it.prefix) range["range_end"] = Base64Encode(PrefixEnd(it.key));
   if (!it.end.empty()) range["range_end"] = Base64Encode(it.end);
-  if (it.limit > 0) range["limit"] = std::to_string(it.limit);
   return Json{{"request_range", range}};
 }
 
