--- a/chart/embedded.cc
+++ b/chart/embedded.cc
@@ -16,38 +16,37 @@
         "taken": {"to": "gone", "do": "tell_taken"},
         "abandoned": {"to": "abandoned"}
       },
-      "ignore": ["ran", "lost", "not_sent", "written"]
+      "ignore": ["ran", "lost", "written"]
     },
     "abandoned": {
       "on": {
         "created": {"to": "withdrawing", "do": "delete"},
         "taken": {"to": "gone", "do": "tell_taken"}
       },
-      "ignore": ["abandoned", "ran", "lost", "not_sent", "written"]
+      "ignore": ["abandoned", "ran", "lost", "written"]
     },
     "owned": {
       "on": {
         "ran": {"to": "storing", "do": "store"},
         "lost": {"to": "storing", "do": "store"},
-        "not_sent": {"to": "withdrawing", "do": "delete"},
         "abandoned": {"to": "withdrawing", "do": "delete"}
       },
       "ignore": ["created", "taken", "written"]
     },
     "storing": {
       "on": {"written": {"to": "stored"}},
-      "ignore": ["created", "taken", "abandoned", "ran", "lost", "not_sent"]
+      "ignore": ["created", "taken", "abandoned", "ran", "lost"]
     },
     "withdrawing": {
       "on": {"written": {"to": "gone"}},
-      "ignore": ["created", "taken", "abandoned", "ran", "lost", "not_sent"]
+      "ignore": ["created", "taken", "abandoned", "ran", "lost"]
     },
     "stored": {
-      "ignore": ["created", "taken", "abandoned", "ran", "lost", "not_sent",
+      "ignore": ["created", "taken", "abandoned", "ran", "lost",
                  "written"]
     },
     "gone": {
-      "ignore": ["created", "taken", "abandoned", "ran", "lost", "not_sent",
+      "ignore": ["created", "taken", "abandoned", "ran", "lost",
                  "written"]
     }
   }
--- a/claim/claim.cc
+++ b/claim/claim.cc
@@ -120,10 +120,6 @@
   Apply(now, key, ClaimStep::kLost);
 }
 
-void ClaimBook::NotSent(Instant now, const ClaimKey& key) {
-  Apply(now, key, ClaimStep::kNotSent);
-}
-
 void ClaimBook::Apply(Instant now, const ClaimKey& key, ClaimStep step) {
   auto it = locals_.find(key);
   if (it == locals_.end()) return;
--- a/claim/claim.h
+++ b/claim/claim.h
@@ -23,7 +23,7 @@
 // own claim from another's, so a lost answer costs nothing but time.
 //
 // Time alone never frees a claim. A claim is deleted only by its owner, when it
-// knows that no byte of the call was sent. Otherwise it stays for the retention
+// knows that nothing of the call ran. Otherwise it stays for the retention
 // period, which the service's own lease ends.
 
 #ifndef QUAYTRACK_CLAIM_CLAIM_H_
@@ -167,15 +167,14 @@
   ClaimAnswer Begin(Instant now, const ClaimKey& key, const std::string& digest,
                     const RequestId& request, std::int64_t wall_ms);
 
-  // The caller of `request` gave up before the claim was written. Nothing was
-  // sent; the claim is withdrawn as soon as its write is resolved.
+  // `request` ends and nothing of its call ran: its caller gave up before the
+  // claim was written, or the target refused the call. The claim is withdrawn as
+  // soon as its write is resolved.
   void Abandon(Instant now, const ClaimKey& key, const RequestId& request);
 
-  // The owner's three ways to end a claim: the call ran, it may have run, or it
-  // certainly didn't.
+  // The owner's call was sent: it ran, or it may have run.
   void Done(Instant now, const ClaimKey& key, KeptAnswer answer);
   void Lost(Instant now, const ClaimKey& key);
-  void NotSent(Instant now, const ClaimKey& key);
 
   std::optional<ClaimCommit> Next(Instant now);
   // `found` is given with kRejected, one for each write.
--- a/claim/claim_chart.h
+++ b/claim/claim_chart.h
@@ -25,7 +25,6 @@
   kAbandoned,
   kRan,
   kLost,
-  kNotSent,
   kWritten,
 };
 
@@ -51,7 +50,6 @@
                                            {ClaimStep::kAbandoned, "abandoned"},
                                            {ClaimStep::kRan, "ran"},
                                            {ClaimStep::kLost, "lost"},
-                                           {ClaimStep::kNotSent, "not_sent"},
                                            {ClaimStep::kWritten, "written"}});
 };
 
--- a/claim/testing/claim_property_test.cc
+++ b/claim/testing/claim_property_test.cc
@@ -72,6 +72,12 @@
   return kChart;
 }
 
+// A call that was sent, and the request that owns its claim.
+struct Running {
+  RequestId request;
+  ClaimKey key;
+};
+
 struct Node {
   explicit Node(int n)
       : self("vm-" + std::to_string(n) + "@1"), book(self, {}, TestChart()) {}
@@ -79,7 +85,7 @@
   ClaimBook book;
   std::optional<ClaimCommit> unanswered;
   std::map<RequestId, ClaimKey> waiting;
-  std::vector<ClaimKey> running;
+  std::vector<Running> running;
   int minted = 0;
   bool dead = false;
 };
@@ -152,20 +158,20 @@
                        answer.kind == ClaimAnswerKind::kJoin;
     if (waits) node.waiting[request] = key;
     if (waits && send_early_ && answer.kind == ClaimAnswerKind::kWait) {
-      Send(node, key);
+      Send(node, request, key);
     }
     if (answer.kind == ClaimAnswerKind::kReplay) RC_ASSERT(sends_[key] == 1);
   }
 
-  void Send(Node& node, const ClaimKey& key) {
+  void Send(Node& node, const RequestId& request, const ClaimKey& key) {
     ++sends_[key];
     RC_ASSERT(sends_[key] == 1);
-    node.running.push_back(key);
+    node.running.push_back({request, key});
   }
 
   void EndOne(Node& node, unsigned size) {
     if (node.running.empty()) return;
-    const ClaimKey key = node.running.back();
+    const auto [request, key] = node.running.back();
     node.running.pop_back();
     switch (size % 4) {
       case 0:
@@ -178,7 +184,7 @@
       default:
         // The target never took it: as if it had not been sent.
         --sends_[key];
-        node.book.NotSent(now_, key);
+        node.book.Abandon(now_, key, request);
     }
   }
 
@@ -218,7 +224,7 @@
       const ClaimKey key = waiting->second;
       node.waiting.erase(waiting);
       if (it.kind == ClaimEventKind::kClaimed && !send_early_) {
-        Send(node, key);
+        Send(node, it.request, key);
       }
     }
   }
