--- a/router/model_job.cc
+++ b/router/model_job.cc
@@ -40,9 +40,9 @@
 }
 
 int ModelJob::Relay(evbuffer* data, HttpExchange& exchange) {
-  const RelayedPart part = relay_.Feed(data, out_.get());
+  const int events = relay_.Feed(data, out_.get());
   if (evbuffer_get_length(out_.get()) > 0) exchange.Write(out_.get());
-  return part.events;
+  return events;
 }
 
 AnswerKind ModelJob::Judge(const HttpResult& result) {
--- a/router/sse_relay.cc
+++ b/router/sse_relay.cc
@@ -69,54 +69,55 @@
   return out;
 }
 
-RelayedPart SseRelay::Feed(evbuffer* in, evbuffer* out) {
-  RelayedPart part;
+int SseRelay::Feed(evbuffer* in, evbuffer* out) {
   const std::size_t size = evbuffer_get_length(in);
   const char* data = reinterpret_cast<const char*>(evbuffer_pullup(in, -1));
-  if (data == nullptr) return part;
+  if (data == nullptr) return 0;
   const std::string_view text(data, size);
+  int events = 0;
   const bool whole = partial_.empty() && text.ends_with(kEventEnd);
   if (whole && !EndsTheAnswer(text)) {
-    part.events = CountEvents(text);
-    events_ += part.events;
+    events = CountEvents(text);
     evbuffer_add_buffer(out, in);
-    return part;
+  } else {
+    partial_ += text;
+    evbuffer_drain(in, size);
+    events = TakeEvents(out);
   }
-  partial_ += text;
-  evbuffer_drain(in, size);
-  TakeEvents(out, part);
-  return part;
+  events_ += events;
+  return events;
 }
 
-void SseRelay::TakeEvents(evbuffer* out, RelayedPart& part) {
+int SseRelay::TakeEvents(evbuffer* out) {
+  int relayed = 0;
   std::size_t begin = 0;
   std::size_t end = 0;
   while ((end = partial_.find(kEventEnd, begin)) != std::string::npos) {
     const std::size_t next = end + kEventEnd.size();
-    TakeEvent(std::string_view(partial_).substr(begin, next - begin), out,
-              part);
+    const auto event = std::string_view(partial_).substr(begin, next - begin);
+    if (TakeEvent(event, out)) ++relayed;
     begin = next;
   }
   partial_.erase(0, begin);
+  return relayed;
 }
 
-void SseRelay::TakeEvent(std::string_view event, evbuffer* out,
-                         RelayedPart& part) {
+// Whether the event was moved to `out`; the end of the answer is held back.
+bool SseRelay::TakeEvent(std::string_view event, evbuffer* out) {
   const std::string_view data = DataOf(event);
   if (data.starts_with(kDone)) {
     done_ = true;
     tail_ += event;
-    return;
+    return false;
   }
   if (MentionsUsage(data)) {
     if (auto usage = UsageFromJson(data)) usage_ = usage;
     // Some engines put the usage into the last token's event.
     if (show_usage_ || HasChoices(data)) tail_ += event;
-    return;
+    return false;
   }
-  ++part.events;
-  ++events_;
   evbuffer_add(out, event.data(), event.size());
+  return true;
 }
 
 }  // namespace quaytrack
--- a/router/sse_relay.h
+++ b/router/sse_relay.h
@@ -27,19 +27,14 @@
 // an event; empty if there is none, or one that makes no sense.
 std::optional<Usage> UsageFromJson(std::string_view json);
 
-// What a part of the stream turned into.
-struct RelayedPart {
-  // Events moved to the output.
-  int events = 0;
-};
-
 class SseRelay {
  public:
   // `show_usage`: the caller asked for the usage event.
   explicit SseRelay(bool show_usage) : show_usage_(show_usage) {}
 
   // Takes everything from `in`; moves what the caller may see now to `out`.
-  RelayedPart Feed(evbuffer* in, evbuffer* out);
+  // Returns how many events that were.
+  int Feed(evbuffer* in, evbuffer* out);
 
   // The engine said that the answer is complete.
   bool done() const { return done_; }
@@ -50,8 +45,8 @@
   const std::string& tail() const { return tail_; }
 
  private:
-  void TakeEvents(evbuffer* out, RelayedPart& part);
-  void TakeEvent(std::string_view event, evbuffer* out, RelayedPart& part);
+  int TakeEvents(evbuffer* out);
+  bool TakeEvent(std::string_view event, evbuffer* out);
 
   bool show_usage_;
   bool done_ = false;
