--- a/relay/relay_settings.h
+++ b/relay/relay_settings.h
@@ -1,8 +1,21 @@
 // Settings of `quaytrack relay`.
 //
-// Each is a flag and an environment variable (--store and QUAYTRACK_STORE).
-// They are checked as a whole before anything starts, and every problem is
-// reported with the flag, the value given and what is allowed.
+// What both programs have (identity, addresses, log) is in
+// net/process_settings.h; this adds the relay's own. RelayFlags is what was
+// given, RelaySettings what the relay works with; they share RelayValues, which
+// is the same in both. Settings are checked as a whole before anything starts,
+// and every fault is reported with the flag, the value given and what is
+// allowed. Nothing changes while the process runs.
+//
+//   RelayFlags flags;
+//   AddRelayFlags(app, flags);
+//   ...
+//   RelaySettings settings;
+//   for (const SettingFault& it : CheckRelaySettings(flags, settings)) ...
+//
+// A default is for a process that is started by hand. deploy/system.toml sets
+// the addresses, the retry bounds, the link and the time to stop from what the
+// platform says.
 
 #ifndef QUAYTRACK_RELAY_RELAY_SETTINGS_H_
 #define QUAYTRACK_RELAY_RELAY_SETTINGS_H_
@@ -11,62 +24,46 @@
 #include <string>
 #include <vector>
 
-#include "base/log.h"
-#include "net/setting_check.h"
-
-namespace CLI {
-class App;
-}
+#include "net/process_settings.h"
 
 namespace quaytrack {
 
-// As given, before they are checked.
-struct RelayFlags {
-  std::string vm;
-  std::string hall;
-  std::string listen = "127.0.0.1:8080";
-  std::string admin_listen = "127.0.0.1:8081";
-  std::string peer_listen = "127.0.0.1:8082";
+struct RelayValues : ProcessIdentity {
   // Empty for none.
   std::string metrics_listen;
   std::string store;
   std::string ready_path = "/readyz";
-  std::string log_format = "text";
-  std::string log_level = "info";
+  // Retries at a service: this part of the requests for it, and this many more
+  // of all routers together (dispatch/retry_share.h). Not measured; the
+  // platform gives both.
   double retry_ratio = 0.2;
   double retry_slack = 50;
-  int retry_window_s = 10;
-  int drain_s = 8;
+  // Part of what remains of a budget that all routers together keep granted.
+  // Chosen by the runs in docs/design/prepaid.md, "Measured".
   double standing_share = 0.3;
+  // Up to so many routers, each keeps budgets; beyond, so many of each hall
+  // (fleet/fleet.h). Twelve is not measured; three and two a hall were compared
+  // in docs/design/prepaid.md, "Large fleets".
   int small_fleet = 12;
   int holders_per_hall = 3;
+  // Megabits a second of the VM's network link; 0 if it isn't known.
   double link_mbps = 0;
+};
+
+// As given, before they are checked.
+struct RelayFlags : RelayValues, LogFlags {
+  // Not measured; the platform gives it.
+  int retry_window_s = 10;
+  // Not measured; the platform gives it.
+  int drain_s = 8;
+  // Chosen by the runs in docs/design/prepaid.md, "Cover".
   int cover_s = 5;
-  bool check_only = false;
 };
 
-struct RelaySettings {
-  std::string vm;
-  std::string hall;
-  std::string listen;
-  std::string admin_listen;
-  std::string peer_listen;
-  std::string metrics_listen;
-  std::string store;
-  std::string ready_path;
-  LogFormat log_format = LogFormat::kText;
-  LogLevel log_level = LogLevel::kInfo;
-  double retry_ratio = 0;
-  double retry_slack = 0;
+struct RelaySettings : RelayValues, LogSettings {
   std::chrono::seconds retry_window{};
   // From SIGTERM until the process is killed.
   std::chrono::seconds drain_time{};
-  double standing_share = 0.3;
-  // See fleet/fleet.h.
-  int small_fleet = 12;
-  int holders_per_hall = 3;
-  // Megabits a second of the VM's network link; 0 if it isn't known.
-  double link_mbps = 0;
   // Of its own spending that a router keeps granted.
   std::chrono::seconds cover{};
 };
--- a/router/settings.h
+++ b/router/settings.h
@@ -1,8 +1,17 @@
 // Settings of `quaytrack router`.
 //
-// Each is a flag and an environment variable (--kv and QUAYTRACK_KV). They are
-// checked as a whole before anything starts, and every problem is reported with
-// the flag, the value given and what is allowed.
+// What both programs have (identity, addresses, log) is in
+// net/process_settings.h; this adds the router's own. RouterFlags is what was
+// given, RouterSettings what the router works with; they share RouterValues,
+// which is the same in both. Settings are checked as a whole before anything
+// starts, and every fault is reported with the flag, the value given and what
+// is allowed. Nothing changes while the process runs.
+//
+//   RouterFlags flags;
+//   AddRouterFlags(app, flags);
+//   ...
+//   RouterSettings settings;
+//   for (const SettingFault& it : CheckSettings(flags, settings)) ...
 
 #ifndef QUAYTRACK_ROUTER_SETTINGS_H_
 #define QUAYTRACK_ROUTER_SETTINGS_H_
@@ -11,52 +20,38 @@
 #include <string>
 #include <vector>
 
-#include "base/log.h"
 #include "bundle/signing.h"
-#include "net/setting_check.h"
-
-namespace CLI {
-class App;
-}
+#include "net/process_settings.h"
 
 namespace quaytrack {
 
-// As given, before they are checked.
-struct RouterFlags {
-  std::string vm;
-  std::string hall;
-  std::string listen = "127.0.0.1:8080";
-  std::string admin_listen = "127.0.0.1:8081";
-  std::string peer_listen = "127.0.0.1:8082";
+struct RouterValues : ProcessIdentity {
+  // Addresses of the key-value service; the next is used when one is silent.
   std::vector<std::string> kv;
+  // Address of the VM list; empty for none.
   std::string vm_list;
+};
+
+// As given, before they are checked. The defaults are not measured.
+struct RouterFlags : RouterValues, LogFlags {
+  // NAME=BASE64 of a public Ed25519 key, one for each operator.
   std::vector<std::string> operator_keys;
-  std::string log_format = "text";
-  std::string log_level = "info";
   int deadline_ms = 60000;
   int max_body_kb = 4096;
   int commit_spacing_ms = 100;
   int bill_patience_ms = 400;
   int balancer_ms = 1000;
   int drain_ms = 60000;
-  bool check_only = false;
 };
 
-struct RouterSettings {
-  std::string vm;
-  std::string hall;
-  std::string listen;
-  std::string admin_listen;
-  std::string peer_listen;
-  std::vector<std::string> kv;
-  std::string vm_list;
+struct RouterSettings : RouterValues, LogSettings {
   OperatorKeys operator_keys;
-  LogFormat log_format = LogFormat::kText;
-  LogLevel log_level = LogLevel::kInfo;
   // Given to requests that bring no deadline of their own.
   std::chrono::milliseconds default_deadline{};
   std::size_t max_body_bytes = 0;
+  // Shortest time between two ledger writes (ledger/sync.h).
   std::chrono::milliseconds commit_spacing{};
+  // How long an answer's end waits for its bill (router/bill_gate.h).
   std::chrono::milliseconds bill_patience{};
   // From turning unready until the balancer is taken to have noticed.
   std::chrono::milliseconds balancer_time{};
