--- a/testing/fleet_main.cc
+++ b/testing/fleet_main.cc
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <fstream>
 
-#include "testing/fleet.h"
+#include "testing/router_fleet.h"
 
 namespace {
 
--- a/testing/process/fleet_fixture.h
+++ b/testing/process/fleet_fixture.h
@@ -14,7 +14,7 @@
 #include <string>
 
 #include "base/digest.h"
-#include "testing/fleet.h"
+#include "testing/router_fleet.h"
 
 namespace quaytrack {
 
--- a/testing/fleet.cc
+++ b/testing/router_fleet.cc
@@ -1,4 +1,4 @@
-#include "testing/fleet.h"
+#include "testing/router_fleet.h"
 
 #include <fcntl.h>
 #include <poll.h>
--- a/testing/fleet.h
+++ b/testing/router_fleet.h
@@ -12,8 +12,8 @@
 // waits for a time; `WaitFor` waits for a condition, with a limit far beyond
 // any honest delay.
 
-#ifndef QUAYTRACK_TESTING_FLEET_H_
-#define QUAYTRACK_TESTING_FLEET_H_
+#ifndef QUAYTRACK_TESTING_ROUTER_FLEET_H_
+#define QUAYTRACK_TESTING_ROUTER_FLEET_H_
 
 #include <sys/types.h>
 
@@ -175,4 +175,4 @@
 
 }  // namespace quaytrack
 
-#endif  // QUAYTRACK_TESTING_FLEET_H_
+#endif  // QUAYTRACK_TESTING_ROUTER_FLEET_H_
