--- a/testing/fleet_main.cc
+++ b/testing/fleet_main.cc
@@ -23,9 +23,9 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  using quaytrack::Fleet;
+  using quaytrack::RouterFleet;
   CLI::App app("Starts a local fleet until SIGTERM.", "tools/fleet");
-  quaytrack::FleetSpec spec;
+  quaytrack::RouterFleetSpec spec;
   bool standins_only = false;
   bool restart = false;
   app.add_option("--routers", spec.routers, "Routers to start")
@@ -48,7 +48,7 @@
   std::signal(SIGTERM, OnStop);
   std::signal(SIGINT, OnStop);
   if (standins_only) spec.routers = 0;
-  Fleet fleet(spec);
+  RouterFleet fleet(spec);
   if (!fleet.Start()) return 1;
   const std::string file = spec.directory + "/fleet.json";
   WriteAtomically(file, fleet.ReadyJson());
@@ -57,7 +57,7 @@
       [&] {
         fleet.Reap();
         for (int n = 1; restart && n <= spec.routers; ++n) {
-          if (fleet.Process(Fleet::RouterName(n)).alive) continue;
+          if (fleet.Process(RouterFleet::RouterName(n)).alive) continue;
           if (fleet.StartRouter(n)) WriteAtomically(file, fleet.ReadyJson());
         }
         return g_stop != 0;
--- a/testing/process/claim_failure_test.cc
+++ b/testing/process/claim_failure_test.cc
@@ -12,7 +12,7 @@
 BOOST_FIXTURE_TEST_CASE(LostAnswerIsUnknownAndNeverRunAgain, ClaimFixture) {
   fleet.Control("forms-1", "mode?mode=lose");
   fleet.Control("forms-2", "mode?mode=lose");
-  const TestRequest sign = Fleet::Service(kLakhon, "/sign", "{}", "l1");
+  const TestRequest sign = RouterFleet::Service(kLakhon, "/sign", "{}", "l1");
   const TestReply first = fleet.Call(fleet.Router(1), sign);
   BOOST_TEST(first.Json()["ran"] == "unknown");
   fleet.Control("forms-1", "mode?mode=normal");
@@ -31,7 +31,7 @@
 BOOST_FIXTURE_TEST_CASE(DeadOwnersCallIsNeverRunAgain, ClaimFixture) {
   fleet.Control("forms-1", "mode?mode=hang");
   fleet.Control("forms-2", "mode?mode=hang");
-  const TestRequest sign = Fleet::Service(kLakhon, "/sign", "{}", "d1");
+  const TestRequest sign = RouterFleet::Service(kLakhon, "/sign", "{}", "d1");
   int ended = 0;
   fleet.Begin(fleet.Router(1), sign, [&](const TestReply&) { ++ended; });
   BOOST_REQUIRE(fleet.WaitFor([&] { return ServiceRuns("d1") == 1; }));
@@ -53,7 +53,7 @@
 BOOST_FIXTURE_TEST_CASE(RefusedByTheServiceMeansNotRun, ClaimFixture) {
   fleet.Control("forms-1", "mode?mode=refuse");
   fleet.Control("forms-2", "mode?mode=refuse");
-  const TestRequest sign = Fleet::Service(kLakhon, "/sign", "{}", "r1");
+  const TestRequest sign = RouterFleet::Service(kLakhon, "/sign", "{}", "r1");
   const TestReply refused = fleet.Call(fleet.Router(1), sign);
   BOOST_TEST(refused.Json()["ran"] == "no");
   BOOST_TEST(ServiceRuns("r1") == 0);
@@ -67,8 +67,8 @@
 BOOST_FIXTURE_TEST_CASE(DeadServicesMeanNotRun, ClaimFixture) {
   fleet.Kill("forms-1", SIGKILL);
   fleet.Kill("forms-2", SIGKILL);
-  const TestReply refused =
-      fleet.Call(fleet.Router(1), Fleet::Service(kLakhon, "/sign", "{}", "x1"));
+  const TestReply refused = fleet.Call(
+      fleet.Router(1), RouterFleet::Service(kLakhon, "/sign", "{}", "x1"));
   BOOST_TEST(refused.status >= 500);
   BOOST_TEST(refused.Json()["ran"] == "no");
 }
@@ -76,7 +76,7 @@
 BOOST_FIXTURE_TEST_CASE(CallerThatLeavesFindsItsAnswerLater, ClaimFixture) {
   fleet.Control("forms-1", "delay?ms=400");
   fleet.Control("forms-2", "delay?ms=400");
-  const TestRequest sign = Fleet::Service(kLakhon, "/sign", "{}", "g1");
+  const TestRequest sign = RouterFleet::Service(kLakhon, "/sign", "{}", "g1");
   auto call = fleet.Begin(fleet.Router(1), sign, [](const TestReply&) {});
   BOOST_REQUIRE(fleet.WaitFor([&] { return ServiceRuns("g1") == 1; }));
   call->Cancel();
--- a/testing/process/fleet_fixture.h
+++ b/testing/process/fleet_fixture.h
@@ -65,7 +65,7 @@
 
 class FleetFixture {
  public:
-  explicit FleetFixture(FleetSpec spec = {}) : fleet(std::move(spec)) {
+  explicit FleetFixture(RouterFleetSpec spec = {}) : fleet(std::move(spec)) {
     BOOST_REQUIRE(fleet.Start());
   }
 
@@ -160,7 +160,7 @@
 
   std::size_t EngineRuns() { return fleet.Executions("engine").size(); }
 
-  Fleet fleet;
+  RouterFleet fleet;
 };
 
 }  // namespace quaytrack
--- a/testing/process/kv_cut_test.cc
+++ b/testing/process/kv_cut_test.cc
@@ -5,8 +5,8 @@
 namespace quaytrack {
 namespace {
 
-FleetSpec WithKvProxies() {
-  FleetSpec out;
+RouterFleetSpec WithKvProxies() {
+  RouterFleetSpec out;
   out.proxy_kv = true;
   return out;
 }
@@ -22,9 +22,9 @@
   int Serve(int router, int count, const std::string& name) {
     int whole = 0;
     for (int n = 0; n < count; ++n) {
-      const TestReply it =
-          fleet.Call(fleet.Router(router),
-                     Fleet::Chat(kLakhon, name + std::to_string(n), 3, true));
+      const TestReply it = fleet.Call(
+          fleet.Router(router),
+          RouterFleet::Chat(kLakhon, name + std::to_string(n), 3, true));
       if (ReadStream(it.body).done) ++whole;
     }
     return whole;
@@ -57,7 +57,8 @@
 
 BOOST_FIXTURE_TEST_CASE(CutRouterClaimsNothing, CutFixture) {
   SetProxy("freeze");
-  const TestRequest sign = Fleet::Service(kLakhon, "/sign", "{}", "cut-1");
+  const TestRequest sign =
+      RouterFleet::Service(kLakhon, "/sign", "{}", "cut-1");
   const TestReply refused = fleet.Call(fleet.Router(1), sign);
   BOOST_TEST(refused.Json()["ran"] == "no");
   const TestReply other = fleet.Call(fleet.Router(2), sign);
--- a/testing/process/kv_outage_test.cc
+++ b/testing/process/kv_outage_test.cc
@@ -14,7 +14,7 @@
     int ended = 0;
     for (int n = 0; n < count; ++n) {
       fleet.Begin(fleet.Router(n % 3 + 1),
-                  Fleet::Chat(kLakhon, name + std::to_string(n), 3, true),
+                  RouterFleet::Chat(kLakhon, name + std::to_string(n), 3, true),
                   [&](const TestReply& it) {
                     ++ended;
                     if (ReadStream(it.body).done) ++whole;
@@ -46,7 +46,8 @@
   fleet.Control("kv", "mode?mode=refuse");
   int ended = 0;
   for (int n = 0; n < 60; ++n) {
-    fleet.Begin(fleet.Router(n % 3 + 1), Fleet::Chat(kTiny, "tiny", 10, true),
+    fleet.Begin(fleet.Router(n % 3 + 1),
+                RouterFleet::Chat(kTiny, "tiny", 10, true),
                 [&](const TestReply&) { ++ended; });
   }
   BOOST_TEST(fleet.WaitFor([&] { return ended == 60; }));
@@ -58,7 +59,8 @@
   }
   ended = 0;
   for (int n = 0; n < 60; ++n) {
-    fleet.Begin(fleet.Router(n % 3 + 1), Fleet::Chat(kTiny, "tiny", 10, true),
+    fleet.Begin(fleet.Router(n % 3 + 1),
+                RouterFleet::Chat(kTiny, "tiny", 10, true),
                 [&](const TestReply&) { ++ended; });
   }
   BOOST_TEST(fleet.WaitFor([&] { return ended == 60; }));
@@ -69,7 +71,8 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(UnclaimedCallIsRefusedAndNotRun, OutageFixture) {
-  const TestRequest sign = Fleet::Service(kLakhon, "/sign", "{}", "out-1");
+  const TestRequest sign =
+      RouterFleet::Service(kLakhon, "/sign", "{}", "out-1");
   fleet.Control("kv", "mode?mode=refuse");
   const TestReply refused = fleet.Call(fleet.Router(1), sign);
   BOOST_TEST(refused.status == 503);
@@ -84,7 +87,8 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(ClaimWhoseAnswerIsLostRunsAtMostOnce, OutageFixture) {
-  const TestRequest sign = Fleet::Service(kLakhon, "/sign", "{}", "lost-1");
+  const TestRequest sign =
+      RouterFleet::Service(kLakhon, "/sign", "{}", "lost-1");
   fleet.Control("kv", "mode?mode=lose");
   int ended = 0;
   int not_run = 0;
--- a/testing/process/router_death_test.cc
+++ b/testing/process/router_death_test.cc
@@ -12,10 +12,10 @@
   // Starts streams at a router; their answers are counted in `ended`.
   void StartStreams(int router, int count, int tokens) {
     for (int n = 0; n < count; ++n) {
-      fleet.Begin(
-          fleet.Router(router),
-          Fleet::Chat(kLakhon, "stream " + std::to_string(n), tokens, true),
-          [this](const TestReply&) { ++ended; });
+      fleet.Begin(fleet.Router(router),
+                  RouterFleet::Chat(kLakhon, "stream " + std::to_string(n),
+                                    tokens, true),
+                  [this](const TestReply&) { ++ended; });
     }
   }
 
@@ -56,9 +56,9 @@
 
 BOOST_FIXTURE_TEST_CASE(KilledRightAfterAnAnswerLosesNoBill, DeathFixture) {
   for (int n = 0; n < 20; ++n) {
-    const TestReply it =
-        fleet.Call(fleet.Router(1),
-                   Fleet::Chat(kLakhon, "p" + std::to_string(n), 2, true));
+    const TestReply it = fleet.Call(
+        fleet.Router(1),
+        RouterFleet::Chat(kLakhon, "p" + std::to_string(n), 2, true));
     BOOST_TEST(ReadStream(it.body).done);
   }
   fleet.Kill("router-1", SIGKILL);
@@ -68,9 +68,9 @@
 BOOST_FIXTURE_TEST_CASE(KilledWhileTheKvIsOutIsRecoveredLater, DeathFixture) {
   fleet.Control("kv", "mode?mode=refuse");
   for (int n = 0; n < 10; ++n) {
-    const TestReply it =
-        fleet.Call(fleet.Router(1),
-                   Fleet::Chat(kLakhon, "o" + std::to_string(n), 3, true));
+    const TestReply it = fleet.Call(
+        fleet.Router(1),
+        RouterFleet::Chat(kLakhon, "o" + std::to_string(n), 3, true));
     BOOST_TEST(ReadStream(it.body).done);
   }
   StartStreams(1, 3, 400);
@@ -95,7 +95,9 @@
   fleet.Kill("router-1", SIGCONT);
   BOOST_TEST(fleet.WaitFor([&] { return ended == 3; }));
   BOOST_TEST(fleet.WaitFor([&] {
-    return fleet.Call(fleet.Router(1), Fleet::Chat(kLakhon, "back", 2, true))
+    return fleet
+               .Call(fleet.Router(1),
+                     RouterFleet::Chat(kLakhon, "back", 2, true))
                .status == 200;
   }));
   JudgeBills();
@@ -113,7 +115,7 @@
 
 BOOST_FIXTURE_TEST_CASE(RetryElsewhereWithTheSameKeyIsBilledOnce,
                         DeathFixture) {
-  TestRequest keyed = Fleet::Chat(kLakhon, "keyed", 5, true);
+  TestRequest keyed = RouterFleet::Chat(kLakhon, "keyed", 5, true);
   keyed.headers.push_back({"Idempotency-Key", "chat-1"});
   BOOST_TEST(ReadStream(fleet.Call(fleet.Router(1), keyed).body).done);
   BOOST_TEST(ReadStream(fleet.Call(fleet.Router(2), keyed).body).done);
--- a/testing/process/serve_test.cc
+++ b/testing/process/serve_test.cc
@@ -10,8 +10,8 @@
 
 BOOST_FIXTURE_TEST_CASE(ServesBillsAndRefuses, ServeFixture) {
   // A stream arrives whole, with its usage, and is billed at what it used.
-  const TestReply stream =
-      fleet.Call(fleet.Router(1), Fleet::Chat(kLakhon, "hello", 20, true));
+  const TestReply stream = fleet.Call(
+      fleet.Router(1), RouterFleet::Chat(kLakhon, "hello", 20, true));
   BOOST_TEST(stream.status == 200);
   const SeenStream seen = ReadStream(stream.body);
   BOOST_TEST(seen.text == ExpectedText("hello", 20));
@@ -19,8 +19,8 @@
   BOOST_TEST(seen.usage);
 
   // So does a plain answer.
-  const TestReply plain =
-      fleet.Call(fleet.Router(2), Fleet::Chat(kLakhon, "again", 5, false));
+  const TestReply plain = fleet.Call(
+      fleet.Router(2), RouterFleet::Chat(kLakhon, "again", 5, false));
   BOOST_TEST(plain.status == 200);
   BOOST_TEST(plain.Json()["choices"][0]["message"]["content"] ==
              ExpectedText("again", 5));
@@ -28,7 +28,7 @@
   // More than the budget is refused before anything runs.
   const std::size_t runs = EngineRuns();
   const TestReply over =
-      fleet.Call(fleet.Router(1), Fleet::Chat(kTiny, "hello", 500, true));
+      fleet.Call(fleet.Router(1), RouterFleet::Chat(kTiny, "hello", 500, true));
   BOOST_TEST(over.status == 402);
   BOOST_TEST(over.Json()["ran"] == "no");
   BOOST_TEST(over.Json()["error"]["code"] == "budget_exhausted");
@@ -40,7 +40,9 @@
                             "--kv=" + fleet.Process("kv").address},
                            &output) == 0);
   BOOST_TEST(fleet.WaitFor([&] {
-    return fleet.Call(fleet.Router(1), Fleet::Chat(kTiny, "hello", 500, true))
+    return fleet
+               .Call(fleet.Router(1),
+                     RouterFleet::Chat(kTiny, "hello", 500, true))
                .status == 200;
   }));
   JudgeBills();
@@ -49,14 +51,15 @@
 BOOST_FIXTURE_TEST_CASE(CallThatMustNotRepeatRunsOnce, ServeFixture) {
   // A retry elsewhere right after the answer finds the answer, every time.
   for (int n = 0; n < 20; ++n) {
-    const TestRequest quick =
-        Fleet::Service(kLakhon, "/sign", "{}", "quick-" + std::to_string(n));
+    const TestRequest quick = RouterFleet::Service(
+        kLakhon, "/sign", "{}", "quick-" + std::to_string(n));
     const TestReply answer = fleet.Call(fleet.Router(1), quick);
     const TestReply retry = fleet.Call(fleet.Router(2), quick);
     BOOST_TEST(retry.status == 200);
     BOOST_TEST(retry.body == answer.body);
   }
-  const TestRequest sign = Fleet::Service(kLakhon, "/sign", "{\"a\":1}", "k1");
+  const TestRequest sign =
+      RouterFleet::Service(kLakhon, "/sign", "{\"a\":1}", "k1");
   const TestReply first = fleet.Call(fleet.Router(1), sign);
   BOOST_TEST(first.status == 200);
   for (int n = 1; n <= 3; ++n) {
@@ -65,14 +68,16 @@
     BOOST_TEST(again.body == first.body);
   }
   BOOST_TEST(ServiceRuns("k1") == 1);
-  const TestReply other = fleet.Call(
-      fleet.Router(2), Fleet::Service(kLakhon, "/sign", "{\"a\":2}", "k1"));
+  const TestReply other =
+      fleet.Call(fleet.Router(2),
+                 RouterFleet::Service(kLakhon, "/sign", "{\"a\":2}", "k1"));
   BOOST_TEST(other.status == 422);
   BOOST_TEST(other.Json()["ran"] == "no");
   BOOST_TEST(ServiceRuns("k1") == 1);
   // Another customer's key of the same name is another call.
-  const TestReply stranger = fleet.Call(
-      fleet.Router(2), Fleet::Service(kZellij, "/sign", "{\"a\":1}", "k1"));
+  const TestReply stranger =
+      fleet.Call(fleet.Router(2),
+                 RouterFleet::Service(kZellij, "/sign", "{\"a\":1}", "k1"));
   BOOST_TEST(stranger.status == 200);
   BOOST_TEST(ServiceRuns("k1") == 2);
   BOOST_TEST(fleet.WaitFor([&] { return fleet.Bills().size() == 22; }));
@@ -86,7 +91,7 @@
   int told_to_return = 0;
   for (int n = 0; n < 12; ++n) {
     fleet.Begin(fleet.Router(n % 3 + 1),
-                Fleet::Service(kLakhon, "/sign", "{}", "race"),
+                RouterFleet::Service(kLakhon, "/sign", "{}", "race"),
                 [&](const TestReply& it) {
                   ++ended;
                   if (it.status == 200) ++served;
@@ -106,19 +111,20 @@
   for (int n = 0; n < kCallers; ++n) {
     const std::string prompt = "caller " + std::to_string(n);
     const int tokens = 5 + n % 20;
-    fleet.Begin(
-        fleet.Router(n % 3 + 1),
-        Fleet::Chat(n % 2 == 0 ? kLakhon : kZellij, prompt, tokens, n % 3 != 0),
-        [&, prompt, tokens](const TestReply& it) {
-          ++ended;
-          const std::string wanted = ExpectedText(prompt, tokens);
-          const SeenStream seen = ReadStream(it.body);
-          const bool streamed = seen.done && seen.text == wanted;
-          const auto json = it.Json();
-          const bool plain = json.is_object() && json.contains("choices") &&
-                             json["choices"][0]["message"]["content"] == wanted;
-          if (streamed || plain) ++right;
-        });
+    fleet.Begin(fleet.Router(n % 3 + 1),
+                RouterFleet::Chat(n % 2 == 0 ? kLakhon : kZellij, prompt,
+                                  tokens, n % 3 != 0),
+                [&, prompt, tokens](const TestReply& it) {
+                  ++ended;
+                  const std::string wanted = ExpectedText(prompt, tokens);
+                  const SeenStream seen = ReadStream(it.body);
+                  const bool streamed = seen.done && seen.text == wanted;
+                  const auto json = it.Json();
+                  const bool plain =
+                      json.is_object() && json.contains("choices") &&
+                      json["choices"][0]["message"]["content"] == wanted;
+                  if (streamed || plain) ++right;
+                });
   }
   BOOST_TEST(fleet.WaitFor([&] { return ended == kCallers; }));
   BOOST_TEST(right == kCallers);
@@ -179,7 +185,7 @@
 
 BOOST_FIXTURE_TEST_CASE(BadInputNamesItsFieldAndRunsNothing, ServeFixture) {
   for (const BadRequest& it : kBadRequests) {
-    TestRequest request = Fleet::Chat(kLakhon, "", 1, false);
+    TestRequest request = RouterFleet::Chat(kLakhon, "", 1, false);
     request.path = it.path;
     request.body = it.body;
     const TestReply reply = fleet.Call(fleet.Router(1), request);
@@ -189,12 +195,12 @@
     BOOST_TEST(reply.Json()["ran"] == "no", it.what);
   }
   const std::string deep(200, '[');
-  TestRequest nested = Fleet::Chat(kLakhon, "", 1, false);
+  TestRequest nested = RouterFleet::Chat(kLakhon, "", 1, false);
   nested.body = deep;
   BOOST_TEST(fleet.Call(fleet.Router(1), nested).status == 400);
 
   const auto with_header = [&](const HttpHeader& header) {
-    TestRequest request = Fleet::Chat(kLakhon, "x", 1, false);
+    TestRequest request = RouterFleet::Chat(kLakhon, "x", 1, false);
     if (header.name == "Authorization") request.headers.clear();
     request.headers.push_back(header);
     return fleet.Call(fleet.Router(1), request);
@@ -208,7 +214,7 @@
   BOOST_TEST(with_header({"X-Deadline-Ms", "soon"}).status == 400);
   BOOST_TEST(with_header({"X-Priority", "vip"}).status == 400);
 
-  TestRequest huge = Fleet::Chat(kLakhon, "x", 1, false);
+  TestRequest huge = RouterFleet::Chat(kLakhon, "x", 1, false);
   huge.body = std::string(5 * 1024 * 1024, 'x');
   const TestReply refused = fleet.Call(fleet.Router(1), huge);
   BOOST_TEST((refused.status == 413 || refused.end != HttpEnd::kComplete));
@@ -216,8 +222,8 @@
   BOOST_TEST(EngineRuns() == 0U);
   BOOST_TEST(fleet.Bills().empty());
   BOOST_TEST(
-      fleet.Call(fleet.Router(1), Fleet::Chat(kLakhon, "x", 1, false)).status ==
-      200);
+      fleet.Call(fleet.Router(1), RouterFleet::Chat(kLakhon, "x", 1, false))
+          .status == 200);
 }
 
 }  // namespace
--- a/testing/process/slow_caller_test.cc
+++ b/testing/process/slow_caller_test.cc
@@ -17,8 +17,8 @@
 // The router's buffers for one stream, the sockets', and room for the rest.
 constexpr long kMostKilobytes = 80 * 1024;
 
-FleetSpec LargeTokens() {
-  FleetSpec out;
+RouterFleetSpec LargeTokens() {
+  RouterFleetSpec out;
   out.routers = 1;
   out.engines = 1;
   out.services = 1;
@@ -41,7 +41,7 @@
     inet_pton(AF_INET, "127.0.0.1", &to.sin_addr);
     BOOST_REQUIRE(connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) ==
                   0);
-    const TestRequest chat = Fleet::Chat(kLakhon, "slow", kTokens, true);
+    const TestRequest chat = RouterFleet::Chat(kLakhon, "slow", kTokens, true);
     const std::string text =
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
         "Authorization: Bearer " +
@@ -78,7 +78,7 @@
   BOOST_TEST(RouterKilobytes() < kMostKilobytes);
   // Another caller is served meanwhile.
   const TestReply other =
-      fleet.Call(fleet.Router(1), Fleet::Chat(kZellij, "quick", 3, true));
+      fleet.Call(fleet.Router(1), RouterFleet::Chat(kZellij, "quick", 3, true));
   BOOST_TEST(ReadStream(other.body).done);
   // The slow one gives up; it is billed once, for what ran.
   close(fd);
--- a/testing/process/stop_test.cc
+++ b/testing/process/stop_test.cc
@@ -15,7 +15,7 @@
       ++started;
       const std::string prompt = "stop " + std::to_string(started);
       fleet.Begin(fleet.Router(router),
-                  Fleet::Chat(kLakhon, prompt, tokens, true),
+                  RouterFleet::Chat(kLakhon, prompt, tokens, true),
                   [this, prompt, tokens](const TestReply& it) {
                     ++ended;
                     const SeenStream seen = ReadStream(it.body);
--- a/testing/process/target_test.cc
+++ b/testing/process/target_test.cc
@@ -22,9 +22,9 @@
   int Serve(int count, const std::string& name) {
     int whole = 0;
     for (int n = 0; n < count; ++n) {
-      const TestReply it =
-          fleet.Call(fleet.Router(n % 3 + 1),
-                     Fleet::Chat(kLakhon, name + std::to_string(n), 2, true));
+      const TestReply it = fleet.Call(
+          fleet.Router(n % 3 + 1),
+          RouterFleet::Chat(kLakhon, name + std::to_string(n), 2, true));
       if (ReadStream(it.body).done) ++whole;
     }
     return whole;
@@ -70,7 +70,7 @@
   int whole = 0;
   for (int n = 0; n < 12; ++n) {
     fleet.Begin(fleet.Router(n % 3 + 1),
-                Fleet::Chat(kLakhon, "s" + std::to_string(n), 100, true),
+                RouterFleet::Chat(kLakhon, "s" + std::to_string(n), 100, true),
                 [&](const TestReply& it) {
                   ++ended;
                   if (ReadStream(it.body).done) ++whole;
@@ -95,12 +95,13 @@
   int ended = 0;
   int whole = 0;
   for (int n = 0; n < 30; ++n) {
-    fleet.Begin(fleet.Router(n % 3 + 1),
-                Fleet::Chat(kLakhon, "frozen" + std::to_string(n), 2, true),
-                [&](const TestReply& it) {
-                  ++ended;
-                  if (ReadStream(it.body).done) ++whole;
-                });
+    fleet.Begin(
+        fleet.Router(n % 3 + 1),
+        RouterFleet::Chat(kLakhon, "frozen" + std::to_string(n), 2, true),
+        [&](const TestReply& it) {
+          ++ended;
+          if (ReadStream(it.body).done) ++whole;
+        });
   }
   // Long before the attempts themselves would time out (30 s).
   BOOST_TEST(fleet.WaitFor([&] { return ended == 30; }, seconds(15)));
@@ -120,7 +121,7 @@
     fleet.Control("engine-" + std::to_string(n), "mode?mode=reset&after=5");
   }
   const TestReply it =
-      fleet.Call(fleet.Router(1), Fleet::Chat(kLakhon, "cut", 50, true));
+      fleet.Call(fleet.Router(1), RouterFleet::Chat(kLakhon, "cut", 50, true));
   const SeenStream seen = ReadStream(it.body);
   BOOST_TEST(!seen.done);
   BOOST_TEST(seen.error);
@@ -130,9 +131,9 @@
 
 BOOST_FIXTURE_TEST_CASE(CallerThatLeavesCancelsAndPaysForWhatRan,
                         TargetFixture) {
-  auto call =
-      fleet.Begin(fleet.Router(1), Fleet::Chat(kLakhon, "leaver", 3000, true),
-                  [](const TestReply&) {});
+  auto call = fleet.Begin(fleet.Router(1),
+                          RouterFleet::Chat(kLakhon, "leaver", 3000, true),
+                          [](const TestReply&) {});
   BOOST_REQUIRE(fleet.WaitFor([&] {
     const auto runs = fleet.Executions("engine");
     return !runs.empty() && runs[0]["output_tokens"].get<int>() > 5;
@@ -158,12 +159,13 @@
   // Every slot is taken for longer than the deadline.
   int ended = 0;
   for (int n = 0; n < 150; ++n) {
-    fleet.Begin(fleet.Router(1),
-                Fleet::Chat(kLakhon, "fill" + std::to_string(n), 200, true),
-                [&](const TestReply&) { ++ended; });
+    fleet.Begin(
+        fleet.Router(1),
+        RouterFleet::Chat(kLakhon, "fill" + std::to_string(n), 200, true),
+        [&](const TestReply&) { ++ended; });
   }
   BOOST_REQUIRE(fleet.WaitFor([&] { return EngineRuns() >= 48; }));
-  TestRequest hurried = Fleet::Chat(kLakhon, "hurry", 5, true);
+  TestRequest hurried = RouterFleet::Chat(kLakhon, "hurry", 5, true);
   hurried.headers.push_back({"X-Deadline-Ms", "100"});
   const TestReply it = fleet.Call(fleet.Router(1), hurried);
   BOOST_TEST(it.status == 503);
--- a/testing/standins_main.cc
+++ b/testing/standins_main.cc
@@ -1,8 +1,10 @@
-// The stand-ins as commands of one program.
+// All stand-ins as commands of one program: those of the interface of
+// `quaytrack router` first, then the platform's.
 
 #include <CLI/CLI.hpp>
 
 #include "base/log.h"
+#include "platform/testing/standins.h"
 #include "testing/standins.h"
 
 int main(int argc, char** argv) {
@@ -14,6 +16,7 @@
   StandinFlags flags;
   EngineFlags engine;
   quaytrack::KvLimits limits;
+  quaytrack::platform::TargetFlags target;
   std::string name = "service";
   std::string upstream;
   int lag_ms = 500;
@@ -46,6 +49,13 @@
   it = add("fault_proxy",
            [&] { return quaytrack::RunFaultProxy(flags, upstream); });
   it->add_option("--upstream", upstream)->required();
+  add("store", [&] { return quaytrack::platform::RunStoreStandin(flags); });
+  it = add("target", [&] {
+    return quaytrack::platform::RunTargetStandin(flags, target);
+  });
+  it->add_option("--name", target.name);
+  it->add_flag("--engine", target.engine);
+  it->add_option("--step-ms", target.step_ms);
   CLI11_PARSE(app, argc, argv);
   return code;
 }
