--- a/testing/engine_standin.cc
+++ b/testing/engine_standin.cc
@@ -69,12 +69,11 @@
     standin_.OnPath("/load", [this](const ExchangePtr& it) { Load(it); });
     standin_.OnPath("/executions",
                     [this](const ExchangePtr& it) { Executions(it); });
-    standin_.OnPath("/control/mode",
-                    [this](const ExchangePtr& it) { SetMode(it); });
-    standin_.OnPath("/control/leaving", [this](const ExchangePtr& it) {
-      leaving_ = true;
-      ReplyJson(it, "{}");
+    standin_.OnControl("mode", [this](const Params& it) {
+      break_after_ = it.Number("after", 0);
+      SetMode(it, kModes, mode_);
     });
+    standin_.OnControl("leaving", [this](const Params&) { leaving_ = true; });
     report_timer_ = standin_.loop().Every(kReportLag, [this] { Report(); });
   }
 
@@ -305,13 +304,6 @@
     ReplyJson(exchange, out.dump());
   }
 
-  void SetMode(const ExchangePtr& exchange) {
-    const Params params(exchange->query());
-    break_after_ = params.Number("after", 0);
-    quaytrack::SetMode(params, kModes, mode_);
-    ReplyJson(exchange, "{}");
-  }
-
   EngineFlags flags_;
   Standin standin_;
   std::vector<ExecutionPtr> executions_;
--- a/testing/fault_proxy.cc
+++ b/testing/fault_proxy.cc
@@ -49,8 +49,7 @@
  public:
   explicit FaultProxy(const Address& upstream)
       : upstream_(ToSocketAddress(upstream)) {
-    standin_.OnPath("/control/mode",
-                    [this](const ExchangePtr& it) { SetMode(it); });
+    standin_.OnControl("mode", [this](const Params& it) { SetMode(it); });
   }
 
   ~FaultProxy() {
@@ -141,18 +140,15 @@
     std::erase_if(links_, [link](const auto& it) { return it.get() == link; });
   }
 
-  void SetMode(const ExchangePtr& exchange) {
-    const Params params(exchange->query());
+  void SetMode(const Params& params) {
     delay_ms_ = params.Number("delay_ms", 0);
     quaytrack::SetMode(params, kModes, mode_);
     if (mode_ == Mode::kCut) links_.clear();
-    if (mode_ == Mode::kPass) {
-      for (const auto& it : links_) {
-        Forward(*it, it->caller);
-        Forward(*it, it->upstream);
-      }
+    if (mode_ != Mode::kPass) return;
+    for (const auto& it : links_) {
+      Forward(*it, it->caller);
+      Forward(*it, it->upstream);
     }
-    ReplyJson(exchange, "{}");
   }
 
   Standin standin_;
--- a/testing/service_standin.cc
+++ b/testing/service_standin.cc
@@ -36,12 +36,10 @@
   explicit ServiceStandin(std::string name) : name_(std::move(name)) {
     standin_.OnPath("/executions",
                     [this](const ExchangePtr& it) { Executions(it); });
-    standin_.OnPath("/control/mode",
-                    [this](const ExchangePtr& it) { SetMode(it); });
-    standin_.OnPath("/control/delay", [this](const ExchangePtr& it) {
-      delay_ms_ = Params(it->query()).Number("ms", 0);
-      ReplyJson(it, "{}");
-    });
+    standin_.OnControl(
+        "mode", [this](const Params& it) { SetMode(it, kModes, mode_); });
+    standin_.OnControl(
+        "delay", [this](const Params& it) { delay_ms_ = it.Number("ms", 0); });
     standin_.OnPrefix("/", [this](const ExchangePtr& it) { Run(it); });
   }
 
@@ -104,11 +102,6 @@
     ReplyJson(exchange, out.dump());
   }
 
-  void SetMode(const ExchangePtr& exchange) {
-    quaytrack::SetMode(Params(exchange->query()), kModes, mode_);
-    ReplyJson(exchange, "{}");
-  }
-
   std::string name_;
   Standin standin_;
   std::vector<std::shared_ptr<Execution>> executions_;
--- a/testing/standin.cc
+++ b/testing/standin.cc
@@ -42,6 +42,13 @@
   prefixes_[prefix] = std::move(handler);
 }
 
+void Standin::OnControl(const std::string& what, Control action) {
+  OnPath("/control/" + what, [action](const ExchangePtr& it) {
+    action(Params(it->query()));
+    ReplyJson(it, "{}");
+  });
+}
+
 void Standin::Handle(const ExchangePtr& exchange) {
   const std::string path = exchange->path();
   auto exact = paths_.find(path);
--- a/testing/standin.h
+++ b/testing/standin.h
@@ -38,6 +38,7 @@
 class Standin {
  public:
   using Handler = std::function<void(const ExchangePtr&)>;
+  using Control = std::function<void(const Params&)>;
 
   Standin();
 
@@ -48,6 +49,8 @@
   // Handlers of exact paths come first, then those of prefixes.
   void OnPath(const std::string& path, Handler handler);
   void OnPrefix(const std::string& prefix, Handler handler);
+  // A control, "/control/<what>": `action` is done, and answered with "{}".
+  void OnControl(const std::string& what, Control action);
 
   // Binds both addresses, prints them, and serves until SIGTERM.
   int Run(const std::string& listen, const std::string& admin);
--- a/testing/vm_list_standin.cc
+++ b/testing/vm_list_standin.cc
@@ -21,25 +21,18 @@
  public:
   explicit VmListStandin(int lag_ms) : lag_(std::chrono::milliseconds(lag_ms)) {
     standin_.OnPath("/vms", [this](const ExchangePtr& it) { List(it); });
-    standin_.OnPath("/control/set", [this](const ExchangePtr& it) {
-      const Params params(it->query());
-      Later(params.Text("name"), params.Text("state"));
-      ReplyJson(it, "{}");
+    standin_.OnControl("set", [this](const Params& it) {
+      Later(it.Text("name"), it.Text("state"));
     });
-    standin_.OnPath("/control/remove", [this](const ExchangePtr& it) {
-      Later(Params(it->query()).Text("name"), "");
-      ReplyJson(it, "{}");
+    standin_.OnControl(
+        "remove", [this](const Params& it) { Later(it.Text("name"), ""); });
+    standin_.OnControl("watch", [this](const Params& it) {
+      watched_[it.Text("name")] = it.Number("pid", 0);
+      shown_[it.Text("name")] = "live";
     });
-    standin_.OnPath("/control/watch", [this](const ExchangePtr& it) {
-      const Params params(it->query());
-      watched_[params.Text("name")] = params.Number("pid", 0);
-      shown_[params.Text("name")] = "live";
-      ReplyJson(it, "{}");
-    });
-    standin_.OnPath("/control/mode", [this](const ExchangePtr& it) {
-      hang_ = Params(it->query()).Text("mode") == "hang";
+    standin_.OnControl("mode", [this](const Params& it) {
+      hang_ = it.Text("mode") == "hang";
       if (!hang_) held_.clear();
-      ReplyJson(it, "{}");
     });
     timer_ = standin_.loop().Every(kCheckEvery, [this] { Check(); });
   }
