--- a/testing/process/serve_test.cc
+++ b/testing/process/serve_test.cc
@@ -48,6 +48,26 @@
   JudgeBills();
 }
 
+// The budget covers one such request at a time, so each must give its hold back
+// before the next can be served.
+BOOST_FIXTURE_TEST_CASE(ARefusedRequestGivesItsHoldBack, ServeFixture) {
+  const TestRequest chat = RouterFleet::Chat(kTiny, "hello", 30, true);
+  const auto set_mode = [&](const std::string& mode) {
+    for (int n = 1; n <= fleet.spec().engines; ++n) {
+      fleet.Control("engine-" + std::to_string(n), "mode?mode=" + mode);
+    }
+  };
+  set_mode("refuse");
+  for (int n = 0; n < 2; ++n) {
+    const TestReply refused = fleet.Call(fleet.Router(1), chat);
+    BOOST_TEST(refused.Json()["error"]["code"] != "budget_exhausted");
+    BOOST_TEST(refused.Json()["ran"] == "no");
+  }
+  set_mode("normal");
+  BOOST_TEST(fleet.Call(fleet.Router(1), chat).status == 200);
+  JudgeBills();
+}
+
 BOOST_FIXTURE_TEST_CASE(CallThatMustNotRepeatRunsOnce, ServeFixture) {
   // A retry elsewhere right after the answer finds the answer, every time.
   for (int n = 0; n < 20; ++n) {
