--- a/router/caller_api.cc
+++ b/router/caller_api.cc
@@ -12,7 +12,6 @@
 using Json = nlohmann::ordered_json;
 
 constexpr std::string_view kServicePrefix = "/svc/";
-constexpr Duration kNotReadyRetryAfter = std::chrono::seconds(2);
 
 leaf::result<void> NeedMethod(const HttpExchange& exchange,
                               const std::string& method) {
--- a/router/forward.h
+++ b/router/forward.h
@@ -1,17 +1,25 @@
-// One request on its way: from a caller, through budget and queue, to a target,
-// and its answer back. chart/charts/forward.json is the map; this class does
-// what each arrow says.
-//
-// What differs between model calls and service calls is the job:
+// One request on its way: from a caller, through claim, budget and queue, to a
+// target, and its answer back. chart/charts/forward.json is the map; this class
+// does what each arrow says.
 //
 //   auto it = std::make_shared<Forward<ModelJob>>(context, exchange, basics,
 //                                                 std::move(job));
 //   it->Start();
+//
+// Its parts: the claim (router/request_claim.h), the budget
+// (router/request_budget.h), and the job, which is all that differs between
+// model calls and service calls (router/forward_job.h). It owns the caller's
+// exchange and the attempt at a target, and keeps itself alive while one of
+// them can still report. Every request ends in one of three ways: its answer, a
+// refusal (router/refusal.h), or nothing because its caller left before it was
+// sent; then it has no hold, no claim and no place in a queue.
+//
+// router/forward_impl.h has the way up to a target and the end,
+// router/forward_attempt_impl.h the attempts and what follows from each.
 
 #ifndef QUAYTRACK_ROUTER_FORWARD_H_
 #define QUAYTRACK_ROUTER_FORWARD_H_
 
-#include <concepts>
 #include <memory>
 #include <optional>
 #include <set>
@@ -19,67 +27,14 @@
 
 #include "base/log.h"
 #include "router/context.h"
-#include "router/request_reader.h"
-
-struct evbuffer;
+#include "router/forward_job.h"
+#include "router/refusal.h"
+#include "router/request_basics.h"
+#include "router/request_budget.h"
+#include "router/request_claim.h"
 
 namespace quaytrack {
 
-// What is the same for all requests.
-struct RequestBasics {
-  RequestId request;
-  CallerHeaders headers;
-  BudgetName budget;
-  int customer_weight = 1;
-  GroupName group;
-  std::uint64_t prefix_hash = 0;
-  Tokens worst_case = 0;
-  Instant arrived{};
-  Instant deadline{};
-  // May be sent again although an attempt may have run.
-  bool repeatable = true;
-  // Claimed in the key-value service before it is sent.
-  bool needs_claim = false;
-  // Digest of method, path and body.
-  std::string digest;
-  Duration attempt_timeout = std::chrono::seconds(30);
-};
-
-// What a target's answer means.
-enum class AnswerKind {
-  kComplete,    // the caller's answer
-  kPassedOn,    // an error that is the caller's own; nothing ran
-  kOverloaded,  // refused for lack of room; nothing ran
-  kFailed,      // an error, or an answer that is cut short
-};
-
-// The part of a request that depends on its kind.
-template <class J>
-concept ForwardJob = requires(J job, const std::string& address,
-                              const HttpResult& result, evbuffer* data,
-                              HttpExchange& exchange, int status) {
-  { job.Request(address) } -> std::same_as<HttpRequest>;
-  // The answer goes to the caller while it arrives.
-  { job.streams() } -> std::same_as<bool>;
-  { job.Begin(exchange) } -> std::same_as<void>;
-  // Passes data on; returns how many events it had.
-  { job.Relay(data, exchange) } -> std::same_as<int>;
-  { job.Judge(result) } -> std::same_as<AnswerKind>;
-  // Cost of a complete answer, and of one that was cut short.
-  { job.Cost() } -> std::same_as<Tokens>;
-  { job.CostIfCut() } -> std::same_as<Tokens>;
-  // Sends what was held back.
-  { job.Deliver(exchange) } -> std::same_as<void>;
-  { job.Kept() } -> std::same_as<KeptAnswer>;
-  // Whether it is ended when its caller leaves; then, how to ask the target
-  // what had run, and what to make of the answer.
-  { J::kCancellable } -> std::convertible_to<bool>;
-  { job.CancelRequest(address, RequestId()) } -> std::same_as<HttpRequest>;
-  { job.OnCancelled(result) } -> std::same_as<void>;
-  // What a witness must know to find out what this request cost.
-  { job.MakeIntent(address, Bill()) } -> std::same_as<Intent>;
-};
-
 template <ForwardJob Job>
 class Forward : public std::enable_shared_from_this<Forward<Job>> {
  public:
@@ -91,7 +46,7 @@
 
   // Events from the rest of the router.
   void OnHoldGranted() { Apply(ForwardEvent::kHoldGranted); }
-  void OnHoldRefused(HoldRefusal why);
+  void OnHoldRefused(HoldRefusal why) { Refuse(budget_.RefusalFor(why)); }
   void OnClaimWon();
   void OnClaimAnswer(const ClaimAnswer& answer);
   // Takes a target if one has room; false if none has.
@@ -120,21 +75,19 @@
   void OnAttemptFailed(const HttpResult& result, AnswerKind kind);
   void ReleaseTarget(TargetOutcome outcome);
   void SettleAs(Tokens cost);
-  void EndClaim(bool answered);
   void FinishWhenStored();
   void ReplyRefusal();
   void Abandon();
   void Cancel();
   void Finish();
   void End();
-  Bill MakeBill(Tokens tokens) const;
-  std::string BillId() const;
-  std::string Marker() const;
 
   RouterContext& context_;
   std::shared_ptr<HttpExchange> exchange_;
   RequestBasics basics_;
   Job job_;
+  RequestClaim claim_;
+  RequestBudget budget_;
   ChartMachine<ForwardState, ForwardEvent, ForwardAction> machine_;
   RequestHistograms histograms_;
 
@@ -147,15 +100,10 @@
   Instant last_event_{};
   bool streaming_ = false;
   bool paused_ = false;
-  bool held_ = false;
-  bool claimed_ = false;
-  // The claim's end is being stored; the answer waits for it.
-  bool storing_claim_ = false;
   bool bill_safe_ = false;
   Instant settled_at_{};
   bool sent_once_ = false;
   bool answered_ = false;
-  bool joined_ = false;
   // An answer that is given instead of the target's.
   std::optional<KeptAnswer> replay_;
   Refusal refusal_;
@@ -163,6 +111,8 @@
 
 }  // namespace quaytrack
 
+// Member functions.
+#include "router/forward_attempt_impl.h"
 #include "router/forward_impl.h"
 
 #endif  // QUAYTRACK_ROUTER_FORWARD_H_
--- a/router/model_job.cc
+++ b/router/model_job.cc
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "base/log.h"
+
 namespace quaytrack {
 namespace {
 
--- a/router/model_job.h
+++ b/router/model_job.h
@@ -7,7 +7,9 @@
 #include <optional>
 #include <string>
 
-#include "router/forward.h"
+#include "bundle/bundle.h"
+#include "router/forward_job.h"
+#include "router/request_reader.h"
 #include "router/sse_relay.h"
 
 namespace quaytrack {
--- a/router/refusal.h
+++ b/router/refusal.h
@@ -70,6 +70,16 @@
 
 const RefusalInfo& InfoOf(RefusalCode code);
 
+// When a caller should come back, at the earliest. Where a queue decides it,
+// the queue's own estimate is told (route/wait_queue.h). None is measured.
+//
+// Another attempt, here or at another router, may well succeed at once.
+inline constexpr Duration kShortRetryAfter = std::chrono::seconds(1);
+// This router is starting or stopping.
+inline constexpr Duration kNotReadyRetryAfter = std::chrono::seconds(2);
+// The key-value service doesn't answer.
+inline constexpr Duration kOutageRetryAfter = std::chrono::seconds(5);
+
 struct Refusal {
   RefusalCode code{};
   // For people; names the field at fault where there is one.
--- a/router/service_job.h
+++ b/router/service_job.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <utility>
 
-#include "router/forward.h"
+#include "router/forward_job.h"
 
 namespace quaytrack {
 
