--- a/router/router.cc
+++ b/router/router.cc
@@ -1,7 +1,6 @@
 #include "router/router.h"
 
 #include <cstdio>
-#include <nlohmann/json.hpp>
 #include <utility>
 
 #include "base/digest.h"
@@ -10,8 +9,6 @@
 namespace quaytrack {
 namespace {
 
-using Json = nlohmann::ordered_json;
-
 constexpr Duration kTick = std::chrono::milliseconds(50);
 // Longest time to give grants back at a planned stop.
 constexpr Duration kReturnTime = std::chrono::seconds(3);
@@ -75,28 +72,12 @@
                requests_.ForEach(
                    [&](auto& it) { it.OnTargetUnresponsive(target); });
              }),
-      context_{loop,
-               clock,
-               http_,
-               metrics_,
-               ledger_,
-               claims_,
-               targets_,
-               retries_,
-               gate_,
-               peers_,
-               charts.forward,
-               self_,
-               queues_,
-               addresses_,
-               [this](const ClaimEntry& it) {
-                 return members_->ProvenDead(it.owner, it.owner_registered);
-               },
-               [this](const GroupName& it) { PumpLater(it); },
-               [this](const RequestId& it) {
-                 loop_.Post([this, it] { requests_.Remove(it); });
-               }},
+      context_(MakeContext(charts.forward)),
       callers_(context_, requests_, {settings_.default_deadline}),
+      admin_(
+          {settings_, context_, kv_, bundles_, requests_, members_, recovery_},
+          {[this] { return Ready(); },
+           [this] { return NameOf(drain_.state()); }, [this] { Drain(); }}),
       caller_server_(loop, {settings_.max_body_bytes}),
       admin_server_(loop, {}),
       drain_(charts.drain),
@@ -104,7 +85,31 @@
   caller_server_.Serve(
       [this](const std::shared_ptr<HttpExchange>& it) { callers_.Handle(it); });
   admin_server_.Serve(
-      [this](const std::shared_ptr<HttpExchange>& it) { HandleAdmin(it); });
+      [this](const std::shared_ptr<HttpExchange>& it) { admin_.Handle(it); });
+}
+
+RouterContext Router::MakeContext(const ForwardChart& chart) {
+  return {loop_,
+          clock_,
+          http_,
+          metrics_,
+          ledger_,
+          claims_,
+          targets_,
+          retries_,
+          gate_,
+          peers_,
+          chart,
+          self_,
+          queues_,
+          addresses_,
+          [this](const ClaimEntry& it) {
+            return members_->ProvenDead(it.owner, it.owner_registered);
+          },
+          [this](const GroupName& it) { PumpLater(it); },
+          [this](const RequestId& it) {
+            loop_.Post([this, it] { requests_.Remove(it); });
+          }};
 }
 
 PeerDriver::Handlers Router::PeerHandlers() {
@@ -122,8 +127,8 @@
 }
 
 bool Router::Listen() {
-  const auto bind = [](HttpServer& server, const char* flag,
-                       std::string& address) {
+  // Leaves the bound port in `address`.
+  const auto bind = [](const char* flag, std::string& address, auto& server) {
     const std::uint16_t port = server.Listen(address);
     if (port == 0) {
       LogEvent(Event::kSettingRejected,
@@ -133,20 +138,24 @@
     address = address.substr(0, address.rfind(':') + 1) + std::to_string(port);
     return true;
   };
-  if (!bind(caller_server_, "--listen", settings_.listen)) return false;
-  if (!bind(admin_server_, "--admin-listen", settings_.admin_listen)) {
-    return false;
-  }
-  const std::uint16_t peer_port = peers_.Listen(settings_.peer_listen);
-  if (peer_port == 0) {
-    LogEvent(Event::kSettingRejected, {{"flag", "--peer-listen"},
-                                       {"value", settings_.peer_listen},
-                                       {"why", "can't bind"}});
-    return false;
-  }
-  settings_.peer_listen =
-      settings_.peer_listen.substr(0, settings_.peer_listen.rfind(':') + 1) +
-      std::to_string(peer_port);
+  const bool all =
+      bind("--listen", settings_.listen, caller_server_) &&
+      bind("--admin-listen", settings_.admin_listen, admin_server_) &&
+      bind("--peer-listen", settings_.peer_listen, peers_);
+  if (!all) return false;
+  JoinFleet();
+  LogEvent(Event::kStarted, {{"incarnation", self_.value},
+                             {"listen", settings_.listen},
+                             {"admin", settings_.admin_listen}});
+  // Whoever started the process learns from this line where it listens.
+  std::printf("listening %s %s\n", settings_.listen.c_str(),
+              settings_.admin_listen.c_str());
+  std::fflush(stdout);
+  return true;
+}
+
+// Registers under the addresses that were bound.
+void Router::JoinFleet() {
   Membership::Options options;
   options.self.incarnation = self_;
   options.self.hall = HallName(settings_.hall);
@@ -163,14 +172,6 @@
                                           std::move(on));
   recovery_ = std::make_unique<RecoveryDriver>(
       loop_, kv_, http_, retention_, ledger_, *members_, peers_, self_);
-  LogEvent(Event::kStarted, {{"incarnation", self_.value},
-                             {"listen", settings_.listen},
-                             {"admin", settings_.admin_listen}});
-  // Whoever started the process learns from this line where it listens.
-  std::printf("listening %s %s\n", settings_.listen.c_str(),
-              settings_.admin_listen.c_str());
-  std::fflush(stdout);
-  return true;
 }
 
 void Router::OnLedgerEvent(const LedgerEvent& event) {
@@ -306,88 +307,6 @@
          ledger_.sync().Primed() && !ledger_.sync().fenced();
 }
 
-void Router::HandleAdmin(const std::shared_ptr<HttpExchange>& exchange) {
-  const std::string path = exchange->path();
-  if (path == "/healthz") {
-    exchange->Reply({200, "text/plain", {}, "ok\n"});
-  } else if (path == "/readyz") {
-    const bool ready = Ready();
-    exchange->Reply({ready ? 200 : 503,
-                     "text/plain",
-                     {},
-                     ready ? "ready\n" : "not ready\n"});
-  } else if (path == "/metrics") {
-    UpdateGauges();
-    exchange->Reply({200, "text/plain; version=0.0.4", {}, metrics_.Text()});
-  } else if (path == "/status") {
-    exchange->Reply({200, "application/json", {}, StatusJson()});
-  } else if (path == "/drain" && exchange->method() == "POST") {
-    exchange->Reply({202, "text/plain", {}, "draining\n"});
-    Drain();
-  } else {
-    exchange->Reply({404, "text/plain", {}, "nothing here\n"});
-  }
-}
-
-void Router::UpdateGauges() {
-  std::size_t queued = 0;
-  for (const auto& [group, queue] : queues_) queued += queue.size();
-  metrics_.SetGauge("requests", static_cast<double>(requests_.size()));
-  metrics_.SetGauge("queued", static_cast<double>(queued));
-  metrics_.SetGauge("unwritten_bills",
-                    static_cast<double>(ledger_.sync().UnwrittenBills()));
-  metrics_.SetGauge("unstored_claims",
-                    static_cast<double>(claims_.book().Unstored()));
-  metrics_.SetGauge("kv_calls", static_cast<double>(kv_.calls()));
-  metrics_.SetGauge("stranded_tokens",
-                    static_cast<double>(recovery_->Stranded()));
-  metrics_.SetGauge("bundle_version",
-                    static_cast<double>(bundles_.keeper().version()));
-}
-
-std::string Router::StatusJson() const {
-  Json budgets = Json::array();
-  for (const auto& [name, it] : ledger_.sync().accounts()) {
-    budgets.push_back({{"budget", name.value},
-                       {"granted", it.granted()},
-                       {"available", it.Available()},
-                       {"held", it.HeldTotal()},
-                       {"unwritten", it.unwritten()},
-                       {"waiting", it.waiting().size()}});
-  }
-  Json targets = Json::array();
-  for (TargetIndex n = 0; n < targets_.size(); ++n) {
-    targets.push_back({{"target", targets_.Spec(n).name.value},
-                       {"in_flight", targets_.InFlight(n)},
-                       {"limit", targets_.LimitOf(n)},
-                       {"breaker", NameOf(targets_.BreakerOf(n))},
-                       {"leaving", targets_.Leaving(n)}});
-  }
-  Json routers = Json::array();
-  for (const auto& [name, it] : members_->registry().entries()) {
-    routers.push_back({{"incarnation", name.value},
-                       {"hall", it.hall.value},
-                       {"bundle_version", it.bundle_version}});
-  }
-  const Json out = {{"incarnation", self_.value},
-                    {"hall", settings_.hall},
-                    {"state", NameOf(drain_.state())},
-                    {"ready", Ready()},
-                    {"bundle_version", bundles_.keeper().version()},
-                    {"kv_reachable", ledger_.sync().KvReachable()},
-                    {"requests", requests_.size()},
-                    {"unwritten_bills", ledger_.sync().UnwrittenBills()},
-                    {"unstored_claims", claims_.book().Unstored()},
-                    {"kv_calls", kv_.calls()},
-                    {"witness", ledger_.sync().recorded_witness().value},
-                    {"witness_for", peers_.store().owners()},
-                    {"stranded_tokens", recovery_->Stranded()},
-                    {"budgets", budgets},
-                    {"targets", targets},
-                    {"routers", routers}};
-  return out.dump(2) + "\n";
-}
-
 // --- Planned stop ------------------------------------------------------------
 
 void Router::Drain() { ApplyDrain(DrainEvent::kStopAsked); }
--- a/router/router.h
+++ b/router/router.h
@@ -1,4 +1,15 @@
-// The router process: everything else, wired together.
+// The process of `quaytrack router`: its parts, wired together.
+//
+//   Router router(loop, clock, settings, charts);
+//   if (!router.Listen()) return kExitRefused;
+//   loop.Run();                      // until a planned stop is over
+//   return router.exit_code();
+//
+// It owns the parts, the queues and the addresses of targets, passes events
+// between them, and follows chart/charts/drain.json through a planned stop. A
+// router that has been declared dead stops as well; its exit code is then 75.
+// It relies on the key-value service for everything that routers share, and
+// goes on without it on the grants that it has.
 
 #ifndef QUAYTRACK_ROUTER_ROUTER_H_
 #define QUAYTRACK_ROUTER_ROUTER_H_
@@ -14,6 +25,7 @@
 #include "evhttp/http_client.h"
 #include "evhttp/http_server.h"
 #include "net/loop.h"
+#include "router/admin_api.h"
 #include "router/bill_gate.h"
 #include "router/bundle_driver.h"
 #include "router/caller_api.h"
@@ -46,7 +58,9 @@
   int exit_code() const { return exit_code_; }
 
  private:
+  RouterContext MakeContext(const ForwardChart& chart);
   PeerDriver::Handlers PeerHandlers();
+  void JoinFleet();
   void OnLedgerEvent(const LedgerEvent& event);
   void OnClaimEvent(const ClaimEvent& event);
   void OnBundleTaken();
@@ -56,11 +70,7 @@
   void PumpQueue(const GroupName& group);
   void PumpLater(const GroupName& group);
   void Tick();
-  void UpdateGauges();
-
   bool Ready() const;
-  void HandleAdmin(const std::shared_ptr<HttpExchange>& exchange);
-  std::string StatusJson() const;
 
   void ApplyDrain(DrainEvent event);
   void CheckDrain();
@@ -88,6 +98,7 @@
   RequestTable requests_;
   RouterContext context_;
   CallerApi callers_;
+  AdminApi admin_;
   HttpServer caller_server_;
   HttpServer admin_server_;
   ChartMachine<DrainState, DrainEvent, DrainAction> drain_;
