--- a/ledger/testing/sync_test.cc
+++ b/ledger/testing/sync_test.cc
@@ -1,6 +1,8 @@
 #include "ledger/sync.h"
 
+#include <algorithm>
 #include <boost/test/unit_test.hpp>
+#include <map>
 #include <memory>
 
 #include "ledger/testing/fake_ledger_store.h"
@@ -225,6 +227,84 @@
   BOOST_TEST(b.ledger.UnwrittenBills() == 0U);
 }
 
+BOOST_AUTO_TEST_CASE(SameKeyAtOneRouterIsBilledOnce) {
+  Router r("vm-1@1", store, 32000);
+  r.Run(now);
+  const auto settle = [&](const char* request) {
+    r.ledger.Hold(now, RequestId(request), kBudget, 300);
+    Bill bill = MakeBill(request, 200, "clinic/key-1");
+    const std::uint64_t seq = r.ledger.Settle(now, bill);
+    BOOST_TEST(bill.tokens == (seq == 0 ? 0 : 200));
+    return seq;
+  };
+  BOOST_TEST(settle("p") != 0U);
+  // The first bill waits here; then it is stored, and the store tells. Each
+  // time the marker is given up with the bill that had it.
+  BOOST_TEST(settle("q") == 0U);
+  for (const char* it : {"s", "t"}) {
+    Pass(milliseconds(200));
+    r.Run(now);
+    BOOST_TEST(settle(it) != 0U);
+  }
+  for (int n = 0; n < 3; ++n) {
+    Pass(milliseconds(200));
+    r.Run(now);
+  }
+  BOOST_TEST(store.bills().size() == 1U);
+  BOOST_TEST(store.Budget(kBudget).settled == 200);
+  BOOST_TEST(r.ledger.accounts().at(kBudget).unwritten() == 0);
+}
+
+BOOST_AUTO_TEST_CASE(ABillThatIsDroppedLeavesTheOthersOfItsBatchAsTheyAre) {
+  Router a("vm-1@1", store, 32000);
+  Router b("vm-2@1", store, 32000);
+  for (Router* r : {&a, &b}) {
+    r->Run(now);
+    r->ledger.Hold(now, RequestId(r->self.value), kBudget, 300);
+    Bill bill = MakeBill(r->self.value, 200, "clinic/key-1");
+    r->ledger.Settle(now, bill);
+  }
+  b.ledger.Hold(now, RequestId("q"), kBudget, 300);
+  Bill bill = MakeBill("q", 70);
+  b.ledger.Settle(now, bill);
+  for (Router* r : {&a, &a, &b, &b, &b}) {
+    Pass(milliseconds(200));
+    r->Run(now);
+  }
+  const auto dropped = [](const LedgerEvent& it) {
+    return it.kind == LedgerEventKind::kBillDropped;
+  };
+  BOOST_TEST(std::count_if(b.events.begin(), b.events.end(), dropped) == 1);
+  BOOST_TEST(store.Budget(kBudget).settled == 270);
+  BOOST_TEST(b.ledger.accounts().at(kBudget).unwritten() == 0);
+}
+
+BOOST_AUTO_TEST_CASE(BillsWithMarkersFillABatchBeforeOthersDo) {
+  const LedgerSyncOptions options;
+  Router r("vm-1@1", store, 32000);
+  r.Run(now);
+  std::map<std::uint64_t, std::size_t> batches;
+  for (std::size_t n = 0; n < options.max_markers + 1; ++n) {
+    const std::string id = "q" + std::to_string(n);
+    r.ledger.Hold(now, RequestId(id), kBudget, 2);
+    Bill bill = MakeBill(id, 1, "clinic/" + id);
+    ++batches[r.ledger.Settle(now, bill)];
+  }
+  BOOST_TEST(batches.size() == 2U);
+  BOOST_TEST(batches.begin()->second == options.max_markers);
+}
+
+BOOST_AUTO_TEST_CASE(AnOlderBundleDoesntTakeTheLimitBack) {
+  Router a("vm-1@1", store, 1000);
+  Router b("vm-2@1", store, 1000);
+  a.ledger.SetBudgets(2, {{kBudget, 5000, {std::chrono::seconds(10), 32}}});
+  for (Router* r : {&a, &b}) {
+    r->Run(now);
+    BOOST_TEST(store.Budget(kBudget).bundle_limit == 5000);
+    BOOST_TEST(store.Budget(kBudget).bundle_version == 2U);
+  }
+}
+
 BOOST_AUTO_TEST_CASE(RemovedWriterIsFenced) {
   Router r("vm-1@1", store, 32000);
   r.Run(now);
