--- a/ledger/record.cc
+++ b/ledger/record.cc
@@ -57,6 +57,35 @@
   return sum;
 }
 
+Tokens BudgetEntry::GrantOf(const Incarnation& who) const {
+  auto it = grants.find(who);
+  return it == grants.end() ? 0 : it->second;
+}
+
+void BudgetEntry::AddGrant(const Incarnation& who, Tokens change) {
+  const Tokens amount = GrantOf(who) + change;
+  if (amount == 0) {
+    grants.erase(who);
+  } else {
+    grants[who] = amount;
+  }
+}
+
+Tokens BudgetEntry::WantedByOthers(const Incarnation& self) const {
+  Tokens sum = 0;
+  for (const auto& [who, n] : wanted) {
+    if (who != self) sum += n;
+  }
+  return sum;
+}
+
+void BudgetEntry::TakeLimit(Tokens limit, std::uint64_t version) {
+  const bool newer = version > bundle_version;
+  if (!newer || limit == bundle_limit) return;
+  bundle_limit = limit;
+  bundle_version = version;
+}
+
 std::string EncodeRecord(const LedgerRecord& record) {
   Json budgets = Json::object();
   for (const auto& [name, it] : record.budgets) {
--- a/ledger/record.h
+++ b/ledger/record.h
@@ -55,6 +55,13 @@
   // What may still be granted. Negative after a limit was lowered under use.
   Tokens Free() const { return Limit() - settled - Outstanding(); }
 
+  Tokens GrantOf(const Incarnation& who) const;
+  // Changes a grant; one of nothing leaves the record.
+  void AddGrant(const Incarnation& who, Tokens change);
+  Tokens WantedByOthers(const Incarnation& self) const;
+  // The bundle with the higher version decides the limit, whoever writes.
+  void TakeLimit(Tokens limit, std::uint64_t version);
+
   bool operator==(const BudgetEntry&) const = default;
 };
 
--- a/ledger/sync.cc
+++ b/ledger/sync.cc
@@ -6,36 +6,6 @@
 namespace quaytrack {
 namespace {
 
-Tokens GrantIn(const BudgetEntry& entry, const Incarnation& who) {
-  auto it = entry.grants.find(who);
-  return it == entry.grants.end() ? 0 : it->second;
-}
-
-void SetGrant(BudgetEntry& entry, const Incarnation& who, Tokens amount) {
-  if (amount == 0) {
-    entry.grants.erase(who);
-  } else {
-    entry.grants[who] = amount;
-  }
-}
-
-Tokens WantedByOthers(const BudgetEntry& entry, const Incarnation& self) {
-  Tokens sum = 0;
-  for (const auto& [who, n] : entry.wanted) {
-    if (who != self) sum += n;
-  }
-  return sum;
-}
-
-// The bundle with the higher version decides the limit, whoever writes.
-void FreshenLimit(const BudgetSetting& setting, std::uint64_t version,
-                  BudgetEntry& entry) {
-  const bool newer = version > entry.bundle_version;
-  if (!newer || setting.limit == entry.bundle_limit) return;
-  entry.bundle_limit = setting.limit;
-  entry.bundle_version = version;
-}
-
 // Sum of the first waiting holds, in arrival order, that `room` can take. If
 // even the first is too large it is the answer, so that it is asked for.
 Tokens WaitingThatFits(const std::deque<WaitingHold>& waiting, Tokens room) {
@@ -50,7 +20,9 @@
 }  // namespace
 
 LedgerSync::LedgerSync(Incarnation self, LedgerSyncOptions options)
-    : self_(std::move(self)), options_(options) {}
+    : self_(std::move(self)),
+      options_(options),
+      bills_({options.max_batch, options.max_markers}) {}
 
 void LedgerSync::SetBudgets(std::uint64_t bundle_version,
                             const std::vector<BudgetSetting>& budgets) {
@@ -93,34 +65,17 @@
 std::uint64_t LedgerSync::Settle(Instant now, Bill& bill) {
   Account& account = accounts_[bill.budget];
   bill.tokens = account.Settle(now, bill.request_id, bill.tokens);
-  const bool again =
-      !bill.marker.empty() && !unwritten_markers_.insert(bill.marker).second;
-  if (again) {
+  const std::uint64_t seq = bills_.Add(bill);
+  if (seq == 0) {
     account.Forgive(bill.tokens);
     events_.push_back({LedgerEventKind::kBillDropped, bill.request_id, {}, 0});
     bill.tokens = 0;
     return 0;
   }
-  BillBatch& batch = OpenBatch(!bill.marker.empty());
-  batch.bills.push_back(bill);
-  const std::uint64_t seq = batch.seq;
   if (!account.waiting().empty()) ServeWaiting();
   return seq;
 }
 
-// The batch that takes the next bill; a new one if the last is full.
-BillBatch& LedgerSync::OpenBatch(bool needs_marker) {
-  const auto has_marker = [](const Bill& it) { return !it.marker.empty(); };
-  bool full = open_.empty() || open_.back().bills.size() >= options_.max_batch;
-  if (!full && needs_marker) {
-    const auto& bills = open_.back().bills;
-    const auto n = std::count_if(bills.begin(), bills.end(), has_marker);
-    full = static_cast<std::size_t>(n) >= options_.max_markers;
-  }
-  if (full) open_.push_back({next_seq_++, {}});
-  return open_.back();
-}
-
 void LedgerSync::Release(const RequestId& request, const BudgetName& budget) {
   Account& account = accounts_[budget];
   account.Release(request);
@@ -146,7 +101,7 @@
                               : std::optional<LedgerAction>(StartRead());
   }
   MarkAllDirty(now);
-  if (!sealed_ && !open_.empty()) SealOpenBatch();
+  bills_.SealNext();
   ShardMap work;
   for (int shard : attempted_) Touch(work, shard);
   TouchForWitness(work);
@@ -154,7 +109,7 @@
   PlanDirtyBudgets(now, work);
   if (work.empty()) {
     // A sealed batch without bills (all were dropped) needs no write.
-    if (sealed_) ResolveSealed();
+    if (bills_.sealed()) ResolveSealed();
     return std::nullopt;
   }
   if (ReadBeforeCommit(work)) return StartRead();
@@ -192,8 +147,8 @@
   phase_ = Phase::kReading;
   ReadShards out;
   out.shards.assign(must_read_.begin(), must_read_.end());
-  if (!sealed_) return out;
-  for (const Bill& it : sealed_->bills) {
+  if (!bills_.sealed()) return out;
+  for (const Bill& it : bills_.sealed()->bills) {
     if (!it.marker.empty()) out.markers.push_back(it.marker);
   }
   return out;
@@ -205,12 +160,6 @@
   for (const auto& [name, it] : settings_) dirty_.insert(name);
 }
 
-void LedgerSync::SealOpenBatch() {
-  sealed_ = std::move(open_.front());
-  open_.pop_front();
-  for (const Bill& it : sealed_->bills) sealed_costs_[it.budget] += it.tokens;
-}
-
 ShardState& LedgerSync::Touch(ShardMap& work, int shard) {
   auto [it, inserted] = work.try_emplace(shard);
   if (inserted) {
@@ -227,12 +176,12 @@
 }
 
 void LedgerSync::AddBills(ShardMap& work) {
-  if (!sealed_) return;
-  for (const Bill& it : sealed_->bills) {
+  if (!bills_.sealed()) return;
+  for (const Bill& it : bills_.sealed()->bills) {
     ShardState& state = Touch(work, ShardOf(it.budget));
     BudgetEntry& entry = state.record.budgets[it.budget];
     entry.settled += it.tokens;
-    SetGrant(entry, self_, GrantIn(entry, self_) - it.tokens);
+    entry.AddGrant(self_, -it.tokens);
   }
 }
 
@@ -251,7 +200,7 @@
     BudgetEntry after = PlannedEntry(now, setting->second, before, &returned);
     if (known && after == before) continue;
     accounts_[name].SetReturning(returned);
-    const bool helps = returned > 0 && WantedByOthers(before, self_) > 0;
+    const bool helps = returned > 0 && before.WantedByOthers(self_) > 0;
     if (helps || after.wanted != before.wanted) need_.insert(shard);
     Touch(work, shard).record.budgets[name] = std::move(after);
   }
@@ -262,9 +211,9 @@
                                      const BudgetEntry& entry,
                                      Tokens* returned) const {
   BudgetEntry out = entry;
-  FreshenLimit(setting, bundle_version_, out);
+  out.TakeLimit(setting.limit, bundle_version_);
   const GrantPlan plan = PlanFor(now, setting, out);
-  SetGrant(out, self_, GrantIn(out, self_) + plan.delta);
+  out.AddGrant(self_, plan.delta);
   if (plan.short_by > 0) {
     out.wanted[self_] = plan.short_by;
   } else {
@@ -278,13 +227,13 @@
                               const BudgetEntry& entry) const {
   const Account& account = accounts_.at(setting.name);
   GrantView view;
-  view.granted = GrantIn(entry, self_);
-  view.in_use =
-      account.HeldTotal() + account.unwritten() - SealedCost(setting.name);
+  view.granted = entry.GrantOf(self_);
+  view.in_use = account.HeldTotal() + account.unwritten() -
+                bills_.SealedCost(setting.name);
   view.rate = account.Rate(now);
   view.free = entry.Free();
   view.remaining = entry.Limit() - entry.settled;
-  view.wanted_by_others = WantedByOthers(entry, self_);
+  view.wanted_by_others = entry.WantedByOthers(self_);
   view.routers = fleet_size_;
   auto scarce = scarce_at_.find(setting.name);
   view.scarce_lately = scarce != scarce_at_.end() &&
@@ -299,14 +248,10 @@
 }
 
 LedgerCommit LedgerSync::FinishCommit(Instant now, ShardMap&& work) {
-  if (!sealed_) {
-    if (open_.empty()) open_.push_back({next_seq_++, {}});
-    SealOpenBatch();
-  }
   LedgerCommit out;
-  out.batch = *sealed_;
+  out.batch = bills_.Seal();
   for (auto& [shard, state] : work) {
-    state.record.writers[self_] = {sealed_->seq, witness_, registered_};
+    state.record.writers[self_] = {out.batch.seq, witness_, registered_};
     attempted_.insert(shard);
     out.shards.push_back(std::move(state));
   }
@@ -372,7 +317,7 @@
 void LedgerSync::NoticeNeeds(Instant now, const ShardState& state) {
   for (const auto& [name, it] : state.record.budgets) {
     dirty_.insert(name);
-    if (WantedByOthers(it, self_) == 0) continue;
+    if (it.WantedByOthers(self_) == 0) continue;
     scarce_at_[name] = now;
     urgent_ = true;
   }
@@ -385,10 +330,10 @@
 }
 
 bool LedgerSync::ShowsSealed(const ShardState& state) const {
-  if (!sealed_ || !attempted_.contains(state.shard)) return false;
+  if (!bills_.sealed() || !attempted_.contains(state.shard)) return false;
   auto writer = state.record.writers.find(self_);
   if (writer == state.record.writers.end()) return false;
-  return writer->second.seq >= sealed_->seq;
+  return writer->second.seq >= bills_.sealed()->seq;
 }
 
 bool LedgerSync::SealedIsApplied() const {
@@ -403,41 +348,32 @@
 
 void LedgerSync::ResolveSealed() {
   for (int shard : attempted_) {
-    AdoptRecord(cache_[shard], true);
+    AdoptRecord(cache_[shard]);
     joined_.insert(shard);
   }
-  for (const Bill& it : sealed_->bills) unwritten_markers_.erase(it.marker);
-  events_.push_back({LedgerEventKind::kBillsWritten, {}, {}, sealed_->seq});
-  sealed_.reset();
-  sealed_costs_.clear();
+  events_.push_back({LedgerEventKind::kBillsWritten, {}, {}, bills_.Resolve()});
   attempted_.clear();
   UpdateRecordedWitness();
   ServeWaiting();
 }
 
-void LedgerSync::AdoptRecord(const ShardState& state, bool sealed_applied) {
+// The record has what the sealed batch changed.
+void LedgerSync::AdoptRecord(const ShardState& state) {
   for (auto& [name, account] : accounts_) {
     if (ShardOf(name) != state.shard) continue;
     auto it = state.record.budgets.find(name);
     const Tokens granted =
-        it == state.record.budgets.end() ? 0 : GrantIn(it->second, self_);
-    account.OnRecorded(granted, sealed_applied ? SealedCost(name) : 0);
+        it == state.record.budgets.end() ? 0 : it->second.GrantOf(self_);
+    account.OnRecorded(granted, bills_.SealedCost(name));
   }
 }
 
 void LedgerSync::DropBilledTwice(
     const std::set<std::string>& existing_markers) {
-  if (!sealed_ || existing_markers.empty()) return;
-  std::erase_if(sealed_->bills, [&](const Bill& it) {
-    if (it.marker.empty() || !existing_markers.contains(it.marker)) {
-      return false;
-    }
+  for (const Bill& it : bills_.DropExisting(existing_markers)) {
     accounts_[it.budget].Forgive(it.tokens);
-    sealed_costs_[it.budget] -= it.tokens;
-    unwritten_markers_.erase(it.marker);
     events_.push_back({LedgerEventKind::kBillDropped, it.request_id, {}, 0});
-    return true;
-  });
+  }
 }
 
 void LedgerSync::UpdateRecordedWitness() {
@@ -500,7 +436,7 @@
   auto setting = settings_.find(name);
   if (setting == settings_.end()) return 0;
   BudgetEntry fresh = *entry;
-  FreshenLimit(setting->second, bundle_version_, fresh);
+  fresh.TakeLimit(setting->second.limit, bundle_version_);
   return fresh.Limit() - fresh.settled - in_use;
 }
 
@@ -511,11 +447,6 @@
   return it == state->second.record.budgets.end() ? nullptr : &it->second;
 }
 
-Tokens LedgerSync::SealedCost(const BudgetName& name) const {
-  auto it = sealed_costs_.find(name);
-  return it == sealed_costs_.end() ? 0 : it->second;
-}
-
 void LedgerSync::Tick(Instant now) {
   for (auto& [name, account] : accounts_) {
     while (!account.waiting().empty() &&
@@ -528,7 +459,7 @@
 }
 
 bool LedgerSync::Drained() const {
-  if (UnwrittenBills() > 0 || sealed_) return false;
+  if (bills_.size() > 0 || bills_.sealed()) return false;
   return std::all_of(accounts_.begin(), accounts_.end(),
                      [](const auto& it) { return it.second.granted() == 0; });
 }
@@ -543,12 +474,6 @@
   return std::exchange(events_, {});
 }
 
-std::size_t LedgerSync::UnwrittenBills() const {
-  std::size_t n = sealed_ ? sealed_->bills.size() : 0;
-  for (const BillBatch& it : open_) n += it.bills.size();
-  return n;
-}
-
 const ShardState* LedgerSync::CachedShard(int shard) const {
   auto it = cache_.find(shard);
   return it == cache_.end() ? nullptr : &it->second;
--- a/ledger/sync.h
+++ b/ledger/sync.h
@@ -53,6 +53,7 @@
 #include "base/ids.h"
 #include "ledger/account.h"
 #include "ledger/bill.h"
+#include "ledger/bill_batches.h"
 #include "ledger/grant_policy.h"
 #include "ledger/record.h"
 
@@ -210,7 +211,7 @@
   bool KvReachable() const { return reachable_; }
   // Every record that the bundle's budgets need has been read once.
   bool Primed() const;
-  std::size_t UnwrittenBills() const;
+  std::size_t UnwrittenBills() const { return bills_.size(); }
   // The latest known record of a shard; null before the first read.
   const ShardState* CachedShard(int shard) const;
 
@@ -223,7 +224,6 @@
   bool ReadBeforeCommit(const ShardMap& work);
   void NoticeNeeds(Instant now, const ShardState& state);
   void MarkAllDirty(Instant now);
-  void SealOpenBatch();
   ShardState& Touch(ShardMap& work, int shard);
   void TouchForWitness(ShardMap& work);
   void AddBills(ShardMap& work);
@@ -233,13 +233,11 @@
   GrantPlan PlanFor(Instant now, const BudgetSetting& setting,
                     const BudgetEntry& entry) const;
   LedgerCommit FinishCommit(Instant now, ShardMap&& work);
-  BillBatch& OpenBatch(bool needs_marker);
-  Tokens SealedCost(const BudgetName& name) const;
   bool ShowsSealed(const ShardState& state) const;
   bool SealedIsApplied() const;
   bool AppliedIn(const std::vector<ShardState>& snapshot) const;
   void ResolveSealed();
-  void AdoptRecord(const ShardState& state, bool sealed_applied);
+  void AdoptRecord(const ShardState& state);
   void CacheIfNewer(const ShardState& state);
   void DropBilledTwice(const std::set<std::string>& existing_markers);
   void UpdateRecordedWitness();
@@ -267,17 +265,11 @@
   std::set<int> joined_;
 
   Phase phase_ = Phase::kIdle;
-  std::uint64_t next_seq_ = 1;
-  // Batches that still take bills (the last) or wait to be written.
-  std::deque<BillBatch> open_;
-  // The batch that is being written; its bills change no more.
-  std::optional<BillBatch> sealed_;
-  // Sum of the sealed bills of each budget.
-  std::map<BudgetName, Tokens> sealed_costs_;
-  std::set<std::string> unwritten_markers_;
+  // The sealed batch is the one that is being written.
+  BillBatches bills_;
   // Budgets whose entry may need a change.
   std::set<BudgetName> dirty_;
-  // Records that unresolved attempts for `sealed_` may have replaced.
+  // Records that unresolved attempts for the sealed batch may have replaced.
   std::set<int> attempted_;
   LedgerCommit in_flight_;
 
--- a/router/recovery_driver.cc
+++ b/router/recovery_driver.cc
@@ -61,8 +61,7 @@
       members_.registry().entries().contains(entry.witness);
   if (witness_lives) return;
   for (const auto& [name, it] : record.budgets) {
-    auto grant = it.grants.find(writer);
-    if (grant != it.grants.end()) stranded_ += grant->second;
+    stranded_ += it.GrantOf(writer);
   }
 }
 
