--- a/claim/claim.h
+++ b/claim/claim.h
@@ -154,8 +154,8 @@
   Duration group_delay = std::chrono::milliseconds(3);
   // Pause after a write that got no answer.
   Duration retry_after_failure = std::chrono::milliseconds(100);
-  // Claims in one transaction; each is up to three of the 128 operations that
-  // the service allows.
+  // Claims in one transaction; well under the 128 operations of a kind that the
+  // service allows.
   std::size_t max_group = 40;
   // Resolved claims remembered in memory, so that most retries need no read.
   std::size_t remembered = 10000;
--- a/router/caller_api.cc
+++ b/router/caller_api.cc
@@ -16,9 +16,11 @@
 leaf::result<void> NeedMethod(const HttpExchange& exchange,
                               const std::string& method) {
   if (exchange.method() == method) return {};
-  return leaf::new_error(RequestFault{
-      RefusalCode::kNotFound, "method",
-      exchange.path() + " takes " + method + ", not " + exchange.method()});
+  return leaf::new_error(Refusal{
+      RefusalCode::kNotFound,
+      exchange.path() + " takes " + method + ", not " + exchange.method(),
+      "method",
+      {}});
 }
 
 }  // namespace
@@ -44,9 +46,7 @@
                    kNotReadyRetryAfter});
   }
   leaf::try_handle_all([&] { return Route(exchange); },
-                       [&](const RequestFault& it) {
-                         Answer(exchange, {it.code, it.message, it.field, {}});
-                       },
+                       [&](const Refusal& it) { Answer(exchange, it); },
                        [&] {
                          Answer(exchange, {RefusalCode::kInvalidRequest,
                                            "the request can't be read",
@@ -67,8 +67,8 @@
   if (path.starts_with(kServicePrefix)) {
     return StartServiceCall(exchange, path);
   }
-  return leaf::new_error(RequestFault{RefusalCode::kNotFound, "path",
-                                      "there is nothing at " + path});
+  return leaf::new_error(Refusal{
+      RefusalCode::kNotFound, "there is nothing at " + path, "path", {}});
 }
 
 leaf::result<void> CallerApi::ListModels(const ExchangePtr& exchange) {
@@ -130,9 +130,10 @@
   const ServiceName name(rest.substr(0, slash));
   auto service = bundle_->services.find(name);
   if (service == bundle_->services.end()) {
-    return leaf::new_error(
-        RequestFault{RefusalCode::kUnknownService, "path",
-                     "no service is called '" + name.value + "'"});
+    return leaf::new_error(Refusal{RefusalCode::kUnknownService,
+                                   "no service is called '" + name.value + "'",
+                                   "path",
+                                   {}});
   }
   ServiceCall call;
   call.method = exchange->method();
--- a/router/request_reader.cc
+++ b/router/request_reader.cc
@@ -21,15 +21,15 @@
 
 auto Fault(const std::string& field, std::string message) {
   return leaf::new_error(
-      RequestFault{RefusalCode::kInvalidRequest, field, std::move(message)});
+      Refusal{RefusalCode::kInvalidRequest, std::move(message), field, {}});
 }
 
 leaf::result<CustomerName> ReadCustomer(const HttpExchange& exchange,
                                         const Bundle& bundle) {
   static constexpr std::string_view kScheme = "Bearer ";
   const auto fail = [](std::string message) {
-    return leaf::new_error(RequestFault{RefusalCode::kUnauthorized,
-                                        "Authorization", std::move(message)});
+    return leaf::new_error(Refusal{
+        RefusalCode::kUnauthorized, std::move(message), "Authorization", {}});
   };
   if (exchange.HeaderCount("Authorization") > 1) {
     return fail("Authorization is given twice");
@@ -185,9 +185,10 @@
   const ModelName name(json.at("model").get<std::string>());
   auto it = bundle.models.find(name);
   if (it != bundle.models.end()) return &it->second;
-  return leaf::new_error(
-      RequestFault{RefusalCode::kUnknownModel, "model",
-                   "no model is called '" + name.value + "'"});
+  return leaf::new_error(Refusal{RefusalCode::kUnknownModel,
+                                 "no model is called '" + name.value + "'",
+                                 "model",
+                                 {}});
 }
 
 leaf::result<void> ReadStreaming(Json& json, ModelCall& out) {
--- a/router/request_reader.h
+++ b/router/request_reader.h
@@ -8,7 +8,7 @@
 //         BOOST_LEAF_AUTO(chat, ReadModelCall(kind, body, bundle));
 //         ...
 //       },
-//       [&](const RequestFault& it) {...});
+//       [&](const Refusal& it) {...});
 
 #ifndef QUAYTRACK_ROUTER_REQUEST_READER_H_
 #define QUAYTRACK_ROUTER_REQUEST_READER_H_
@@ -27,13 +27,6 @@
 
 namespace quaytrack {
 
-// Why a request was refused while it was read.
-struct RequestFault {
-  RefusalCode code{};
-  std::string field;
-  std::string message;
-};
-
 enum class ModelCallKind { kChat, kCompletion };
 
 // A model call, checked.
--- a/router/testing/router_units_test.cc
+++ b/router/testing/router_units_test.cc
@@ -87,7 +87,7 @@
           BOOST_LEAF_CHECK(ReadModelCall(ModelCallKind::kChat, text, bundle));
           return {};
         },
-        [](const RequestFault& it) { RC_ASSERT(!it.field.empty()); },
+        [](const Refusal& it) { RC_ASSERT(!it.field.empty()); },
         [] { RC_FAIL("refused without a reason"); });
   }));
 }
