--- a/cli/budget_commands.cc
+++ b/cli/budget_commands.cc
@@ -26,11 +26,6 @@
   std::int64_t tokens = 0;
 };
 
-int Unreachable() {
-  std::fprintf(stderr, "the key-value service can't be reached\n");
-  return kExitUnreachable;
-}
-
 // All budgets, or none if the service can't be reached.
 std::optional<std::map<BudgetName, BudgetEntry>> ReadBudgets(KvSession& kv) {
   const EtcdTxnReply reply = kv.Get(keys::kLedgerPrefix, true);
--- a/cli/bundle_commands.cc
+++ b/cli/bundle_commands.cc
@@ -189,10 +189,7 @@
 
   KvSession kv(common.kv);
   const EtcdTxnReply before = kv.Get(keys::kBundleHead);
-  if (before.end != EtcdEnd::kOk) {
-    std::fprintf(stderr, "the key-value service can't be reached\n");
-    return kExitUnreachable;
-  }
+  if (before.end != EtcdEnd::kOk) return Unreachable();
   const auto current = HeadIn(before);
   const bool same = current && current->version == head.version &&
                     current->digest == head.digest;
--- a/cli/commands.h
+++ b/cli/commands.h
@@ -1,4 +1,4 @@
-// The commands of the quaytrack binary beside `router`. Each adds itself to the
+// The commands of the quaytrack binary. Each adds itself to the
 // command line and, when it was asked for, leaves its result in `exit_code`.
 
 #ifndef QUAYTRACK_CLI_COMMANDS_H_
@@ -25,7 +25,7 @@
 void AddBundleCommands(CLI::App& app, CommonFlags& common, int& exit_code);
 void AddBudgetCommands(CLI::App& app, CommonFlags& common, int& exit_code);
 void AddBillsCommand(CLI::App& app, CommonFlags& common, int& exit_code);
-void AddFleetCommands(CLI::App& app, CommonFlags& common, int& exit_code);
+void AddFleetCommands(CLI::App& app, int& exit_code);
 
 // Adds the flag that every command with the key-value service needs.
 void AddKvFlag(CLI::App& command, CommonFlags& common);
--- a/cli/fleet_commands.cc
+++ b/cli/fleet_commands.cc
@@ -41,24 +41,20 @@
 
 }  // namespace
 
-void AddFleetCommands(CLI::App& app, CommonFlags&, int& exit_code) {
+void AddFleetCommands(CLI::App& app, int& exit_code) {
   auto admin = std::make_shared<std::string>();
-  CLI::App* status = app.add_subcommand("status", "Show a router's state");
-  status->footer("Example:\n  quaytrack status --admin 10.0.0.7:8081\n");
-  status->add_option("--admin", *admin, "Admin address of the router")
-      ->envname("QUAYTRACK_ADMIN")
-      ->required();
-  status->callback(
-      [=, &exit_code] { exit_code = Ask(*admin, "GET", "/status"); });
-
-  CLI::App* drain =
-      app.add_subcommand("drain", "Stop a router once its requests have ended");
-  drain->footer("Example:\n  quaytrack drain --admin 10.0.0.7:8081\n");
-  drain->add_option("--admin", *admin, "Admin address of the router")
-      ->envname("QUAYTRACK_ADMIN")
-      ->required();
-  drain->callback(
-      [=, &exit_code] { exit_code = Ask(*admin, "POST", "/drain"); });
+  const auto add = [&](const std::string& name, const char* help,
+                       const char* method) {
+    CLI::App* it = app.add_subcommand(name, help);
+    it->footer("Example:\n  quaytrack " + name + " --admin 10.0.0.7:8081\n");
+    it->add_option("--admin", *admin, "Admin address of the router")
+        ->envname("QUAYTRACK_ADMIN")
+        ->required();
+    it->callback(
+        [=, &exit_code] { exit_code = Ask(*admin, method, "/" + name); });
+  };
+  add("status", "Show a router's state", "GET");
+  add("drain", "Stop a router once its requests have ended", "POST");
 }
 
 }  // namespace quaytrack
--- a/cli/main.cc
+++ b/cli/main.cc
@@ -32,7 +32,7 @@
   quaytrack::AddBundleCommands(app, common, exit_code);
   quaytrack::AddBudgetCommands(app, common, exit_code);
   quaytrack::AddBillsCommand(app, common, exit_code);
-  quaytrack::AddFleetCommands(app, common, exit_code);
+  quaytrack::AddFleetCommands(app, exit_code);
   app.add_subcommand("version", "Print the version")->callback([] {
     std::printf("%s\n", kVersion);
   });
--- a/router/caller_api.cc
+++ b/router/caller_api.cc
@@ -26,8 +26,10 @@
 }  // namespace
 
 CallerApi::CallerApi(RouterContext& context, RequestTable& requests,
-                     Options options)
-    : context_(context), requests_(requests), options_(options) {}
+                     Duration default_deadline)
+    : context_(context),
+      requests_(requests),
+      default_deadline_(default_deadline) {}
 
 void CallerApi::Answer(const ExchangePtr& exchange, const Refusal& refusal) {
   context_.metrics.CountRefusal(refusal.code);
@@ -92,7 +94,7 @@
       RequestId(context_.self.value + "-" + std::to_string(++minted_));
   out.arrived = context_.Now();
   out.deadline = out.arrived + (headers.deadline ? Duration(*headers.deadline)
-                                                 : options_.default_deadline);
+                                                 : default_deadline_);
   const CustomerSetting& customer = bundle_->customers.at(headers.customer);
   out.budget = customer.budget;
   out.customer_weight = customer.weight;
--- a/router/caller_api.h
+++ b/router/caller_api.h
@@ -18,11 +18,9 @@
 
 class CallerApi {
  public:
-  struct Options {
-    Duration default_deadline{};
-  };
-
-  CallerApi(RouterContext& context, RequestTable& requests, Options options);
+  // `default_deadline` is for requests that bring none.
+  CallerApi(RouterContext& context, RequestTable& requests,
+            Duration default_deadline);
 
   void SetBundle(std::shared_ptr<const Bundle> bundle) {
     bundle_ = std::move(bundle);
@@ -46,7 +44,7 @@
 
   RouterContext& context_;
   RequestTable& requests_;
-  Options options_;
+  Duration default_deadline_;
   std::shared_ptr<const Bundle> bundle_;
   bool stopping_ = false;
   std::uint64_t minted_ = 0;
--- a/router/router.cc
+++ b/router/router.cc
@@ -73,7 +73,7 @@
                    [&](auto& it) { it.OnTargetUnresponsive(target); });
              }),
       context_(MakeContext(charts.forward)),
-      callers_(context_, requests_, {settings_.default_deadline}),
+      callers_(context_, requests_, settings_.default_deadline),
       admin_(
           {settings_, context_, kv_, bundles_, requests_, members_, recovery_},
           {[this] { return Ready(); },
