--- a/testing/kv_standin.cc
+++ b/testing/kv_standin.cc
@@ -153,13 +153,10 @@
         Answer(exchange, call, false);
         held_.push_back(exchange);
         return;
-      case Mode::kSlow: {
-        auto timer = std::make_shared<std::unique_ptr<Timer>>();
-        *timer = standin_.loop().After(
-            std::chrono::milliseconds(slow_ms_),
-            [this, exchange, call, timer] { Answer(exchange, call, true); });
+      case Mode::kSlow:
+        standin_.Later(
+            slow_ms_, [this, exchange, call] { Answer(exchange, call, true); });
         return;
-      }
       case Mode::kNormal:
         Answer(exchange, call, true);
     }
--- a/testing/service_standin.cc
+++ b/testing/service_standin.cc
@@ -67,10 +67,7 @@
       return;
     }
     if (delay_ms_ == 0) return Finish(exchange, it);
-    auto timer = std::make_shared<std::unique_ptr<Timer>>();
-    *timer = standin_.loop().After(
-        std::chrono::milliseconds(delay_ms_),
-        [this, exchange, it, timer] { Finish(exchange, it); });
+    standin_.Later(delay_ms_, [this, exchange, it] { Finish(exchange, it); });
   }
 
   void Finish(const ExchangePtr& exchange,
--- a/testing/standin.cc
+++ b/testing/standin.cc
@@ -49,6 +49,15 @@
   });
 }
 
+void Standin::Later(int ms, std::function<void()> action) {
+  const auto at = later_.insert(later_.end(), nullptr);
+  *at = loop_.After(std::chrono::milliseconds(ms),
+                    [this, at, action = std::move(action)] {
+                      later_.erase(at);
+                      action();
+                    });
+}
+
 void Standin::Handle(const ExchangePtr& exchange) {
   const std::string path = exchange->path();
   auto exact = paths_.find(path);
--- a/testing/standin.h
+++ b/testing/standin.h
@@ -11,6 +11,7 @@
 #define QUAYTRACK_TESTING_STANDIN_H_
 
 #include <functional>
+#include <list>
 #include <map>
 #include <memory>
 #include <string>
@@ -49,6 +50,8 @@
   // Handlers of exact paths come first, then those of prefixes.
   void OnPath(const std::string& path, Handler handler);
   void OnPrefix(const std::string& prefix, Handler handler);
+  // Does something once, `ms` milliseconds from now.
+  void Later(int ms, std::function<void()> action);
   // A control, "/control/<what>": `action` is done, and answered with "{}".
   void OnControl(const std::string& what, Control action);
 
@@ -63,6 +66,7 @@
   HttpServer server_;
   std::map<std::string, Handler> paths_;
   std::map<std::string, Handler> prefixes_;
+  std::list<std::unique_ptr<Timer>> later_;
 };
 
 // Sets `mode` to the entry that the query's "mode" names; false if none is.
