--- a/etcd/etcd_json.h
+++ b/etcd/etcd_json.h
@@ -1,4 +1,6 @@
-// The JSON of the etcd v3 gateway, as far as EtcdClient speaks it.
+// The JSON of the etcd v3 gateway, as far as EtcdClient speaks it. Keys and
+// values are base64, 64-bit numbers are strings, and zeros are left out. Pure
+// functions; a text that isn't the reply asked for gives an empty result.
 
 #ifndef QUAYTRACK_ETCD_ETCD_JSON_H_
 #define QUAYTRACK_ETCD_ETCD_JSON_H_
--- a/router/claim_driver.h
+++ b/router/claim_driver.h
@@ -1,4 +1,13 @@
-// Runs ClaimBook against the key-value service.
+// Runs ClaimBook (claim/claim.h) against the key-value service.
+//
+//   claims.book().Begin(now, key, digest, request, wall_ms);
+//   claims.Kick();                  // events go to the handler, later
+//
+// It owns the book, and the timers that make a group of claims due. A write
+// without an answer is told to the book as unknown, and is written again. A
+// stored claim that can't be read counts as taken, so that its call never runs
+// again. Relies on the loop, the service's client and the retention lease,
+// which must outlive it.
 
 #ifndef QUAYTRACK_ROUTER_CLAIM_DRIVER_H_
 #define QUAYTRACK_ROUTER_CLAIM_DRIVER_H_
--- a/router/context.h
+++ b/router/context.h
@@ -1,4 +1,6 @@
-// What a request needs of the router that serves it.
+// What a request needs of the router that serves it: the router's parts, by
+// reference, and three things that only the router as a whole can do. Owned by
+// the Router, and outlives every request.
 
 #ifndef QUAYTRACK_ROUTER_CONTEXT_H_
 #define QUAYTRACK_ROUTER_CONTEXT_H_
--- a/router/ledger_codec.h
+++ b/router/ledger_codec.h
@@ -1,4 +1,6 @@
-// How ledger records and commits look in the key-value service.
+// How ledger records and commits look in the key-value service: which keys a
+// commit compares, writes and creates (etcd/keys.h). A record that can't be
+// read is taken as an empty one. Pure functions.
 
 #ifndef QUAYTRACK_ROUTER_LEDGER_CODEC_H_
 #define QUAYTRACK_ROUTER_LEDGER_CODEC_H_
--- a/router/ledger_driver.h
+++ b/router/ledger_driver.h
@@ -1,4 +1,14 @@
-// Runs the LedgerSync cycle against the key-value service.
+// Runs the cycle of LedgerSync (ledger/sync.h) against the key-value service.
+//
+//   ledger.sync().Hold(now, request, budget, amount);
+//   ledger.Kick();                  // events go to the handler, later
+//
+// It owns the LedgerSync, the tick that drives it, and a watch on the small
+// `need` keys by which other routers ask for a record to be read. A call
+// without an answer is told as unknown; a watch that breaks is started anew,
+// and all records are read, as something may have been missed. Loss and return
+// of the service are logged. Relies on the loop, the service's client and the
+// retention lease, which must outlive it.
 
 #ifndef QUAYTRACK_ROUTER_LEDGER_DRIVER_H_
 #define QUAYTRACK_ROUTER_LEDGER_DRIVER_H_
--- a/router/membership.h
+++ b/router/membership.h
@@ -1,4 +1,12 @@
 // This router's registration, the other routers, and the VM list.
+//
+// The registration is a key under a lease that is kept alive; if the
+// lease lapses, the router registers again under a new one. The others are
+// known from a watch on their keys, and a full read now and then that finds
+// what a watch missed. The VM list is polled. It owns the registry and the VM
+// tracker (member/registry.h, member/vm_tracker.h), which draw the conclusions;
+// a call that fails leaves them as they are, and a VM list that is lost or back
+// is logged.
 
 #ifndef QUAYTRACK_ROUTER_MEMBERSHIP_H_
 #define QUAYTRACK_ROUTER_MEMBERSHIP_H_
--- a/router/model_job.h
+++ b/router/model_job.h
@@ -1,4 +1,9 @@
-// The part of a request that is particular to model calls.
+// The part of a request that is particular to model calls (ForwardJob).
+//
+// Builds the call for an engine, relays its stream (router/sse_relay.h), and
+// turns the usage that the engine reports into tokens by the prices that the
+// request was admitted under. An answer that is cut short costs what was
+// relayed, unless the engine tells more when it is asked to cancel.
 
 #ifndef QUAYTRACK_ROUTER_MODEL_JOB_H_
 #define QUAYTRACK_ROUTER_MODEL_JOB_H_
--- a/router/peer_codec.h
+++ b/router/peer_codec.h
@@ -1,4 +1,12 @@
-// Messages between routers, as CBOR.
+// Messages between the routers of `quaytrack router`, as CBOR.
+//
+//   link->Send(EncodePeerMessage(HelloMessage{self}));
+//   if (const auto message = DecodePeerMessage(bytes)) ...
+//
+// A link begins with the owner's hello; then the owner sends what a witness
+// must know (ledger/witness.h), and the witness acknowledges. Each message is a
+// map with its type under "t"; old and new routers speak it, so fields may be
+// added and never change their meaning. Pure functions.
 
 #ifndef QUAYTRACK_ROUTER_PEER_CODEC_H_
 #define QUAYTRACK_ROUTER_PEER_CODEC_H_
--- a/router/peer_driver.h
+++ b/router/peer_driver.h
@@ -1,4 +1,14 @@
-// Keeps the link to this router's witness, and serves as witness for others.
+// Keeps the link to this router's witness, and serves as witness for others
+// (ledger/witness.h says what a witness is for).
+//
+// As an owner it chooses a witness from the registry, keeps one link to it, and
+// sends it what WitnessFeed has to tell; the handlers hear what the witness has
+// stored. A witness that fails several attempts in a row is replaced if there
+// is another. As a witness it stores what owners tell and acknowledges each
+// message once it is stored.
+//
+// It owns the links, the feed and the store. A message that isn't one, or comes
+// before its hello, is logged and dropped.
 
 #ifndef QUAYTRACK_ROUTER_PEER_DRIVER_H_
 #define QUAYTRACK_ROUTER_PEER_DRIVER_H_
--- a/router/request_table.h
+++ b/router/request_table.h
@@ -1,4 +1,10 @@
 // All requests that this router is serving, of both kinds, by id.
+//
+//   requests.With(id, [](auto& it) { it.OnHoldGranted(); });
+//
+// It owns the requests; one that has ended is removed from the loop, not from
+// its own call (RouterContext::ended). Events for a request that is gone do
+// nothing.
 
 #ifndef QUAYTRACK_ROUTER_REQUEST_TABLE_H_
 #define QUAYTRACK_ROUTER_REQUEST_TABLE_H_
--- a/router/service_job.h
+++ b/router/service_job.h
@@ -1,4 +1,6 @@
-// The part of a request that is particular to calls of plain services.
+// The part of a request that is particular to calls of plain services
+// (ForwardJob). Each call has one price, whether its answer came whole or not;
+// the answer is kept for retries if it is small.
 
 #ifndef QUAYTRACK_ROUTER_SERVICE_JOB_H_
 #define QUAYTRACK_ROUTER_SERVICE_JOB_H_
