--- a/cli/exit_codes.h
+++ b/cli/exit_codes.h
@@ -1,4 +1,4 @@
-// Exit codes of the quaytrack command. docs/OPERATING.md lists them.
+// Exit codes of the quaytrack command. docs/OPERATING-router.md lists them.
 
 #ifndef QUAYTRACK_CLI_EXIT_CODES_H_
 #define QUAYTRACK_CLI_EXIT_CODES_H_
--- a/router/refusal.h
+++ b/router/refusal.h
@@ -2,7 +2,8 @@
 //
 // The table fixes, for each code, the HTTP status and what the caller may
 // conclude about the request: "no" means that it did not run and will not run;
-// "unknown" means that it may have run. docs/OPERATING.md explains each code.
+// "unknown" means that it may have run. docs/OPERATING-router.md explains each
+// code.
 
 #ifndef QUAYTRACK_ROUTER_REFUSAL_H_
 #define QUAYTRACK_ROUTER_REFUSAL_H_
