--- a/base/clock.h
+++ b/base/clock.h
@@ -1,13 +1,23 @@
 // Time, as the rest of the code sees it.
 //
-// Decision classes never read a clock. They take `Instant now` as a
-// parameter, so a test can replay any order of events at any speed. Plumbing
-// reads the time once per event from the `Clock` that it was given.
+// Classes that decide never read a clock. They take `Instant now` as a
+// parameter, so that a test can replay any order of events at any speed. Code
+// that owns sockets and timers reads the time from the `Clock` that it was
+// given, once for each event.
+//
+//   const SystemClock clock;
+//   const Instant begun = clock.Now();
+//   ...
+//   const Duration took = clock.Now() - begun;
 //
 // Two kinds of time are kept apart on purpose:
-//   Instant   monotonic, for delays, deadlines and rates inside one process;
+//   Instant   monotonic, for delays, deadlines and rates inside one process. On
+//             Linux it counts from the machine's boot, so two processes of one
+//             boot may compare theirs (prepaid/prepaid_record.h, Locks);
 //   WallTime  calendar time, for records that people read. It may jump, so
 //             nothing that affects safety is ever derived from it.
+//
+// Durations are nanoseconds; wall time has milliseconds. Nothing here fails.
 
 #ifndef QUAYTRACK_BASE_CLOCK_H_
 #define QUAYTRACK_BASE_CLOCK_H_
@@ -21,7 +31,7 @@
 using WallTime = std::chrono::time_point<std::chrono::system_clock,
                                          std::chrono::milliseconds>;
 
-// Source of both kinds of time.
+// Source of both kinds of time. Tests pass one that they set themselves.
 class Clock {
  public:
   virtual ~Clock() = default;
--- a/base/enum_table.h
+++ b/base/enum_table.h
@@ -1,5 +1,9 @@
 // Names for the values of an `enum class`, kept in one table each.
 //
+// The names go into logs, metrics, messages and settings, and are read back
+// from the latter two. A table stands beside its enum, so that whoever adds a
+// value sees that it needs a name.
+//
 //   enum class Color { kRed, kBlue };
 //   template <>
 //   struct EnumTable<Color> {
@@ -8,6 +12,10 @@
 //   };
 //   NameOf(Color::kRed);          // "red"
 //   FromName<Color>("blue");      // Color::kBlue
+//   FromName<Color>("green");     // empty
+//
+// Look-ups go through the whole table; tables have a dozen entries. Nothing is
+// allocated and nothing throws.
 
 #ifndef QUAYTRACK_BASE_ENUM_TABLE_H_
 #define QUAYTRACK_BASE_ENUM_TABLE_H_
@@ -33,7 +41,7 @@
   EnumTable<E>::kEntries;
 };
 
-// The name of `value`; "?" if the table lacks it.
+// The name of `value`; "?" if the table lacks it, which is a mistake.
 template <NamedEnum E>
 constexpr std::string_view NameOf(E value) {
   for (const auto& it : EnumTable<E>::kEntries) {
--- a/base/events.h
+++ b/base/events.h
@@ -1,6 +1,19 @@
 // The catalogue of log events. Every log line carries one of these numbers, so
 // that operators can search for a number and not for wording.
-// docs/EVENTS.md explains each; a test holds the two equal.
+//
+//   LogEvent(Event::kReady, {{"config", "7"}});   // base/log.h
+//
+// docs/EVENTS.md explains each event and what to do about it; a test holds the
+// two equal (base/testing/catalogue_test.cc). Numbers, names and fields are
+// read by operators' tools, so none of them may change its meaning.
+//
+// Both programs use the catalogue, and many events belong to one of them only.
+//
+// An event's level says who has to look:
+//   debug  for each request; off by default;
+//   info   the ordinary course of things, and one line a request of the relay;
+//   warn   something was lost or refused that may need a look;
+//   error  an operator has to act.
 
 #ifndef QUAYTRACK_BASE_EVENTS_H_
 #define QUAYTRACK_BASE_EVENTS_H_
@@ -25,7 +38,7 @@
   kLogDropped = 1009,
   kLinkBusy = 1010,
   kLinkEased = 1011,
-  // 11xx: the key-value service and membership.
+  // 11xx: the store, the other routers, the VM list.
   kKvLost = 1101,
   kKvBack = 1102,
   kRegistered = 1103,
@@ -38,7 +51,7 @@
   kPeerLinkLost = 1110,
   kPeerMessageRefused = 1111,
   kPeerLinked = 1112,
-  // 12xx: bundles.
+  // 12xx: bundles, configurations, items of the store that can't be read.
   kBundleTaken = 1201,
   kBundleRefused = 1202,
   kConfigTaken = 1203,
@@ -54,7 +67,7 @@
   kTargetGone = 1307,
   kTargetsRead = 1308,
   kAttemptEnded = 1309,
-  // 14xx: requests, bills and claims.
+  // 14xx: requests, budgets, bills and claims.
   kRequestRefused = 1401,
   kRequestFinished = 1402,
   kCallerGone = 1403,
--- a/base/ids.h
+++ b/base/ids.h
@@ -1,8 +1,12 @@
 // Identifiers as distinct types, so that a customer's name can never be passed
 // where a budget's name is expected.
 //
-//   CustomerName c{"clinic-a"};
+//   const CustomerName customer("clinic-a");
 //   std::map<BudgetName, Tokens> by_budget;
+//   VmOf(Incarnation("vm-7@19ac-5e0c"));    // VmName("vm-7")
+//
+// An id owns its text, compares by it, and may key ordered and hashed maps. Any
+// text is allowed here; whoever reads an id from outside checks it.
 
 #ifndef QUAYTRACK_BASE_IDS_H_
 #define QUAYTRACK_BASE_IDS_H_
@@ -37,15 +41,18 @@
 // The caller's Idempotency-Key header.
 using IdempotencyKey = Id<struct IdempotencyTag>;
 
-// One run of the router process on one VM: "<vm>@<start>-<random>". A restart
-// is a new incarnation, even at the same address.
+// One run of a process on one VM: "<vm>@<suffix>". The suffix differs with each
+// start, so that a restart is a new incarnation, even at the same address. The
+// relay's is random ("vm-7@5e0c91d2"); the router's begins with the time of its
+// start ("vm-7@<start>-<random>").
 using Incarnation = Id<struct IncarnationTag>;
 
-// Prepaid units. Prices in the bundle turn model tokens and service calls into
-// these. Signed, so that a difference can be negative.
+// Prepaid units, signed so that a difference can be negative. For the relay
+// they are the tokens of prompts and answers; for the router, prices in the
+// bundle turn model tokens and service calls into these.
 using Tokens = std::int64_t;
 
-// Returns the VM part of an incarnation's name.
+// The VM part of an incarnation's name; all of it if it has no '@'.
 inline VmName VmOf(const Incarnation& it) {
   return VmName(it.value.substr(0, it.value.rfind('@')));
 }
--- a/base/log.h
+++ b/base/log.h
@@ -1,9 +1,18 @@
-// Logging by log4cxx: one numbered event a line, as text or JSON.
+// Logging by log4cxx: one numbered event a line, as text or JSON, to standard
+// error.
 //
+//   SetUpLog(LogFormat::kText, LogLevel::kInfo);       // once, at the start
 //   LogEvent(Event::kTargetLeaving, {{"target", name}, {"by", "vm_list"}});
 //
 // prints   2026-12-02T09:30:00.125Z INFO QT1301 target_leaving target=e-1
 //          by=vm_list                                          (on one line)
+//
+// Times are UTC with milliseconds. Values that could be taken for another field
+// or line are quoted, so that a caller's text can't forge one.
+//
+// The log never holds up the process: a reader that is slow costs lines, which
+// are counted (base/log_sink.h). It is one for the whole process and belongs to
+// the thread of the event loop.
 
 #ifndef QUAYTRACK_BASE_LOG_H_
 #define QUAYTRACK_BASE_LOG_H_
@@ -35,20 +44,24 @@
                                           {LogLevel::kError, "error"}});
 };
 
+// A fact that decided, or what came of it. Units are part of the name, as in
+// "age_ms".
 struct LogField {
   std::string_view name;
   std::string value;
 };
 
-// Sends events of `level` and above to standard error. A reader that is slow
-// costs lines, which are counted, and never time (base/log_sink.h).
+// Sends events of `level` and above to standard error, which it makes
+// non-blocking. Called once, before the first event.
 void SetUpLog(LogFormat format, LogLevel level);
 
+// Lines dropped since the start because the reader was slow.
 std::uint64_t LogLinesDropped();
 
 // Whether an event would be printed; lets hot paths skip building fields.
 bool LogEnabled(Event event);
 
+// Prints the event with its fields in this order, if its level is on.
 void LogEvent(Event event, std::initializer_list<LogField> fields);
 
 }  // namespace quaytrack
