--- a/net/address.h
+++ b/net/address.h
@@ -1,4 +1,15 @@
-// A numeric address and port, "10.1.0.7:8000".
+// A numeric IPv4 address and port, "10.1.0.7:8000".
+//
+//   if (const auto it = ParseAddress(text)) {
+//     const sockaddr_in to = ToSocketAddress(*it);
+//     ...
+//   }
+//
+// Addresses come from settings, from the store and from peers. No name is ever
+// looked up: a look-up would block the loop.
+//
+// Only the port is checked when an address is parsed. A host that is no IPv4
+// address becomes 0.0.0.0 in `ToSocketAddress`.
 
 #ifndef QUAYTRACK_NET_ADDRESS_H_
 #define QUAYTRACK_NET_ADDRESS_H_
@@ -16,11 +27,12 @@
 namespace quaytrack {
 
 struct Address {
+  // As given; not checked.
   std::string host;
   std::uint16_t port = 0;
 };
 
-// Empty if `text` isn't of that form.
+// Empty if `text` lacks a host, a colon, or a port from 0 to 65535.
 inline std::optional<Address> ParseAddress(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos || colon == 0) return std::nullopt;
@@ -33,6 +45,7 @@
   return out;
 }
 
+// In the form that the kernel takes.
 inline sockaddr_in ToSocketAddress(const Address& it) {
   sockaddr_in out{};
   out.sin_family = AF_INET;
--- a/net/peer_link.cc
+++ b/net/peer_link.cc
@@ -25,7 +25,8 @@
 using ServerEndpoint = ws::server<ws::config::core>;
 using ClientEndpoint = ws::client<ws::config::core_client>;
 
-// A bound on what a peer may send as one message.
+// Bytes that a peer may send as one message. It bounds memory; the largest
+// messages are configurations. Not measured.
 constexpr std::size_t kLargestMessage = 4 * 1024 * 1024;
 
 // One link over one bufferevent, for either end.
--- a/net/setting_check.h
+++ b/net/setting_check.h
@@ -1,8 +1,16 @@
-// Collects the faults of one check of settings, so that all are reported.
+// SettingChecker collects the faults of one check of settings, so that an
+// operator sees all of them at once and not one a start.
 //
 //   SettingChecker check;
+//   check.Name("--vm", flags.vm);
 //   check.Listen("--listen", flags.listen);
+//   const auto level = check.Choice<LogLevel>("--log-level", flags.log_level);
 //   for (const SettingFault& it : check.Take()) ...
+//
+// Each check names the flag, the value that was given and what is allowed. The
+// settings of both programs are checked by it before anything starts
+// (relay/relay_settings.cc, router/settings.cc). It changes nothing and prints
+// nothing.
 
 #ifndef QUAYTRACK_NET_SETTING_CHECK_H_
 #define QUAYTRACK_NET_SETTING_CHECK_H_
@@ -16,6 +24,7 @@
 
 namespace quaytrack {
 
+// One setting that can't be used.
 struct SettingFault {
   std::string flag;
   std::string value;
@@ -28,6 +37,9 @@
 
 class SettingChecker {
  public:
+  // A name of a VM or a hall. It becomes part of incarnations and keys, hence
+  // the characters that are refused. The length is a bound against mistakes
+  // (not measured).
   void Name(const std::string& flag, const std::string& value) {
     const bool ok = !value.empty() && value.size() <= 64 &&
                     value.find_first_of("@/ \t=") == std::string::npos;
@@ -36,10 +48,12 @@
     }
   }
 
+  // "host:port", see net/address.h; the host isn't checked.
   void Listen(const std::string& flag, const std::string& value) {
     if (!ParseAddress(value)) Add(flag, value, "IP:PORT");
   }
 
+  // Both ends are allowed.
   template <class Number>
   void Range(const std::string& flag, Number value, Number low, Number high) {
     if (value >= low && value <= high) return;
@@ -60,11 +74,13 @@
     return EnumTable<E>::kEntries[0].value;
   }
 
+  // A fault that a caller has found by itself.
   void Add(const std::string& flag, const std::string& value,
            const std::string& allowed) {
     faults_.push_back({flag, value, allowed});
   }
 
+  // All faults, in the order of the checks; leaves none.
   std::vector<SettingFault> Take() { return std::move(faults_); }
 
  private:
--- a/net/tcp_socket.cc
+++ b/net/tcp_socket.cc
@@ -16,6 +16,7 @@
 namespace quaytrack {
 namespace {
 
+// Bytes taken by one read. Not measured.
 constexpr std::size_t kReadBytes = 64 * 1024;
 
 void SetOption(int fd, int level, int name, int value) {
--- a/net/timeval.h
+++ b/net/timeval.h
@@ -1,4 +1,9 @@
 // Durations in the form that libevent takes.
+//
+//   const timeval tv = ToTimeval(250ms);
+//   event_add(event, &tv);
+//
+// Rounded towards zero, to microseconds.
 
 #ifndef QUAYTRACK_NET_TIMEVAL_H_
 #define QUAYTRACK_NET_TIMEVAL_H_
