--- a/relay/testing/link_monitor_test.cc
+++ b/relay/testing/link_monitor_test.cc
@@ -19,15 +19,15 @@
 
 struct Fixture {
   // The same traffic in each of some seconds.
-  void Carry(LinkMonitor& link, const Traffic& each) {
-    link.Observe();
+  void Carry(LinkMonitor& monitor, const Traffic& each) {
+    monitor.Observe();
     for (int n = 0; n < kSeconds; ++n) {
       loop.traffic().bytes_in += each.bytes_in;
       loop.traffic().bytes_out += each.bytes_out;
       loop.traffic().pieces_in += each.pieces_in;
       loop.traffic().pieces_out += each.pieces_out;
       clock.now += std::chrono::seconds(1);
-      link.Observe();
+      monitor.Observe();
     }
   }
 
--- a/relay/testing/peer_mesh_test.cc
+++ b/relay/testing/peer_mesh_test.cc
@@ -86,15 +86,15 @@
   RunFor(loop, kOpened);
   BOOST_TEST(one.mesh.peers() == 1U);
   PeerMessage message;
-  message.kind = PeerMessageKind::kAsk;
+  message.kind = PeerMessageKind::kTransferWanted;
   message.from = one.self;
   one.mesh.Broadcast(message);
   RunFor(loop, kOpened);
-  BOOST_TEST(two.Count(PeerMessageKind::kAsk) == 1);
+  BOOST_TEST(two.Count(PeerMessageKind::kTransferWanted) == 1);
   one.mesh.SendTo(two.self, message);
   one.mesh.SendTo(Incarnation("vm-2@b"), message);
   RunFor(loop, kOpened);
-  BOOST_TEST(two.Count(PeerMessageKind::kAsk) == 2);
+  BOOST_TEST(two.Count(PeerMessageKind::kTransferWanted) == 2);
 }
 
 BOOST_FIXTURE_TEST_CASE(PeersShowWhatIsInForceEachSecondAndAtOnce, Fixture) {
