--- a/http/testing/connections_test.cc
+++ b/http/testing/connections_test.cc
@@ -10,6 +10,7 @@
 #include "base/clock.h"
 #include "http/caller_server.h"
 #include "http/target_connection.h"
+#include "testing/run_for.h"
 
 namespace quaytrack {
 namespace {
@@ -79,15 +80,13 @@
       loop.Stop();
     };
     const auto call = connections.Start({address, bytes}, std::move(on));
-    RunFor(patience);
+    const auto timer = loop.After(patience, [&] { loop.Stop(); });
+    loop.Run();
     if (!out.end) call->Cancel();
     return out;
   }
 
-  void RunFor(Duration d) {
-    const auto timer = loop.After(d, [&] { loop.Stop(); });
-    loop.Run();
-  }
+  void RunFor(Duration d) { quaytrack::RunFor(loop, d); }
 
   SystemClock clock;
   Loop loop;
@@ -201,10 +200,7 @@
     socket->Write(bytes);
     RunFor(milliseconds(50));
   }
-  void RunFor(Duration d) {
-    const auto timer = loop.After(d, [&] { loop.Stop(); });
-    loop.Run();
-  }
+  void RunFor(Duration d) { quaytrack::RunFor(loop, d); }
 
   SystemClock clock;
   Loop loop;
--- a/kv/testing/scripted_store.h
+++ b/kv/testing/scripted_store.h
@@ -18,15 +18,10 @@
 
 #include "kv/store.h"
 #include "net/loop.h"
+#include "testing/run_for.h"
 
 namespace quaytrack {
 
-// Lets the loop run for `time`.
-inline void RunFor(Loop& loop, Duration time) {
-  const auto stop = loop.After(time, [&] { loop.Stop(); });
-  loop.Run();
-}
-
 class ScriptedStore final : public KvStore {
  public:
   CallPtr Range(const std::string& prefix,
