--- a/ledger/testing/late_commit_test.cc
+++ b/ledger/testing/late_commit_test.cc
@@ -17,7 +17,7 @@
 // A budget whose record isn't that of kBudget.
 BudgetName BudgetElsewhere() {
   for (int n = 0;; ++n) {
-    const BudgetName out("other-" + std::to_string(n));
+    BudgetName out("other-" + std::to_string(n));
     if (ShardOf(out) != ShardOf(kBudget)) return out;
   }
 }
--- a/testing/standin.cc
+++ b/testing/standin.cc
@@ -42,7 +42,7 @@
   prefixes_[prefix] = std::move(handler);
 }
 
-void Standin::OnControl(const std::string& what, Control action) {
+void Standin::OnControl(const std::string& what, const Control& action) {
   OnPath("/control/" + what, [action](const ExchangePtr& it) {
     action(Params(it->query()));
     ReplyJson(it, "{}");
--- a/testing/standin.h
+++ b/testing/standin.h
@@ -53,7 +53,7 @@
   // Does something once, `ms` milliseconds from now.
   void Later(int ms, std::function<void()> action);
   // A control, "/control/<what>": `action` is done, and answered with "{}".
-  void OnControl(const std::string& what, Control action);
+  void OnControl(const std::string& what, const Control& action);
 
   // Binds both addresses, prints them, and serves until SIGTERM.
   int Run(const std::string& listen, const std::string& admin);
