--- a/base/clock.h
+++ b/base/clock.h
@@ -13,7 +13,8 @@
 // Two kinds of time are kept apart on purpose:
 //   Instant   monotonic, for delays, deadlines and rates inside one process. On
 //             Linux it counts from the machine's boot, so two processes of one
-//             boot may compare theirs (prepaid/prepaid_record.h, Locks);
+//             boot may compare theirs (prepaid/prepaid_record.h, Withheld
+//             parts);
 //   WallTime  calendar time, for records that people read. It may jump, so
 //             nothing that affects safety is ever derived from it.
 //
--- a/dispatch/link_watch.h
+++ b/dispatch/link_watch.h
@@ -19,9 +19,9 @@
 // second. The link's speed is a setting (--link-mbps); without it, nothing is
 // ever busy. `link_busy` of the log shows the rule at work.
 //
-// Measured: with these figures and a cover of 10 s, which came in one change,
-// the worth of the grown site's quiet-1 rose from 0.346 to 0.546 (trial, commit
-// 02163af). Other figures were not tried.
+// Measured: with these figures and a headroom (--cover-s) of 10 s, which came
+// in one change, the worth of the grown site's quiet-1 rose from 0.346 to 0.546
+// (trial, commit 02163af). Other figures were not tried.
 //
 // It owns its last totals and the smoothed load, and can't fail.
 
--- a/dispatch/placement.h
+++ b/dispatch/placement.h
@@ -5,8 +5,8 @@
 //   const auto choice = placement.Choose(now, request);
 //   Tokens prefill = placement.OnSent(now, choice->target.name, request,
 //                                     choice->is_preferred);
-//   placement.OnAnswering(name, prefill, waited);     // first event of a
-//   stream placement.OnEnded(now, name, 0, PlacementOutcome::kGood);
+//   placement.OnAnswering(name, prefill, waited);     // a first event
+//   placement.OnEnded(now, name, 0, PlacementOutcome::kGood);
 //
 // The rule. Targets that are leaving or that had the request before are out.
 // Of the others, ejected ones (dispatch/outlier_ejection.h) are taken only if
--- a/fleet/target_registry.h
+++ b/fleet/target_registry.h
@@ -7,7 +7,8 @@
 //   registry.Remove(name);                   // one that is no longer listed
 //   for (const auto& [name, entry] : registry.entries()) ...
 //
-// A target that is leaving, or is no longer listed, gets no new work at once.
+// A target that is leaving, or is no longer listed, gets no new work from then
+// on, but for what is kept around an outage (below).
 // Its running requests end by themselves, as it serves on for a while. Each
 // start of a target has a name of its own, so a name that was once seen leaving
 // stays leaving whatever is listed later; one that was only lost sight of may
--- a/prepaid/prepaid_ledger.h
+++ b/prepaid/prepaid_ledger.h
@@ -11,13 +11,13 @@
 //   if (ledger.NeedsRead(now)) read the accounts, then the record; OnRead(...);
 //   if (auto write = ledger.NextWrite(now)) perform it, then OnWritten(...);
 //
-// A write is a report, of this router's spend account alone, or a change of the
-// record too: to join, to take or return grants, to record transfers, to leave.
-//
 // and, when the store is away or has nothing left to grant, with the peers:
 //
-//   giver:     auto total = ledger.TransferOut(now, customer, peer, amount,
-//   all); receiver:  ledger.OnTransfer(customer, giver, total);
+//   total = ledger.TransferOut(now, customer, peer, amount, all);  // the giver
+//   ledger.OnTransfer(customer, giver, total);                     // the peer
+//
+// A write is a report, of this router's spend account alone, or a change of the
+// record too: to join, to take or return grants, to record transfers, to leave.
 //
 // What may be spent. `Allowance` is the least that holds in every state that
 // the store may be in: the last one confirmed, and that of each write of which
--- a/relay/budget_driver.h
+++ b/relay/budget_driver.h
@@ -7,8 +7,7 @@
 //     case PrepaidVerdict::kShort:       // `OnHeld` or `OnHoldRefused` follows
 //   }
 //   budgets.Forget(waiter);              // while it waits: no longer wanted
-//   budgets.Settle(*waiter, cost);       // held: what was handed out in the
-//   end
+//   budgets.Settle(*waiter, cost);       // held: what it has cost
 //
 // Every hold that was granted is settled exactly once, with 0 if nothing ran;
 // until then its worst case can't be spent by anybody else.
--- a/relay/final_answer.cc
+++ b/relay/final_answer.cc
@@ -18,7 +18,7 @@
 // few round trips.
 constexpr Duration kWhenConfigured = milliseconds(500);
 // A part of a budget that could not be had from the store and the peers within
-// the time that a request waits for it (relay/budget_driver.cc) is not to be
+// the time that a request waits for it (relay/hold_patience.h) is not to be
 // had a moment later either.
 constexpr Duration kWhenGranted = milliseconds(1000);
 
--- a/relay/final_answer.h
+++ b/relay/final_answer.h
@@ -38,7 +38,7 @@
   kBudgetExhausted,
   kBudgetUnavailable,
   kNoTarget,
-  kTurnedAway,    // targets refused it for lack of room
+  kTurnedAway,    // no attempt has run, and no further one is allowed
   kTargetFailed,  // may have run
   kTimedOut,
   kStreamBroke,
--- a/relay/grant_transfers.h
+++ b/relay/grant_transfers.h
@@ -5,8 +5,7 @@
 //   transfers.CountHold(now, customer, worst_case);      // each hold
 //   transfers.AskPeers(now, customer, waiting, all);     // too little here
 //   transfers.OnWanted(now, message);                    // a peer asks
-//   transfers.OnTransfer(message);                       // a peer has passed
-//   on
+//   transfers.OnTransfer(message);                       // a peer gave some
 //
 // A transfer is told as the running total of what one router has passed to the
 // other of one customer, so that a message that is lost, doubled or late does
--- a/relay/hold_patience.h
+++ b/relay/hold_patience.h
@@ -16,6 +16,9 @@
 //   after `holder_answer`   asks the next holder; at once if the link to the
 //                           holder breaks or the holder sends the asker on
 //   after `all_holders`     refuses the request with 503 and a Retry-After
+// A holder's own refusal ends the wait, as the holder has asked its peers by
+// then; no second holder is asked. Without any linked holder the request is
+// refused at the next tick.
 //
 // A request that the budget can't ever hold is refused at once, with 402. The
 // request's own deadline ends either wait earlier (RelayedRequest::OnDeadline),
--- a/relay/relay_chart.h
+++ b/relay/relay_chart.h
@@ -12,11 +12,9 @@
 //     it (choosing_again, trying_again, streaming, choosing_to_resume,
 //     resuming), and from those nothing leads back.
 //   - A caller gets one final answer: every ending is an arrow into `ended`,
-//   and
-//     `ended` answers nobody.
+//     and `ended` answers nobody.
 //   - What was held of a budget is settled once, with that arrow. A hold that
-//   is
-//     granted to a request that has ended is returned at once.
+//     is granted to a request that has ended is returned at once.
 //
 // An attempt is one send to one target. Events that end one come in two kinds,
 // by what is known of that attempt alone (relay/ran.h); the state knows about
--- a/relay/relay_settings.h
+++ b/relay/relay_settings.h
@@ -56,7 +56,7 @@
   int retry_window_s = 10;
   // Not measured; the platform gives it.
   int drain_s = 8;
-  // Chosen by the runs in docs/design/prepaid.md, "Cover".
+  // Chosen by the runs in docs/design/prepaid.md, "Headroom".
   int cover_s = 5;
 };
 
--- a/relay/request_cost.h
+++ b/relay/request_cost.h
@@ -11,7 +11,7 @@
 // been handed out is charged. What a target has produced and this router hasn't
 // read is not known here, and is left out. The part of each limit that the
 // ledger never grants is there for such differences (`PrepaidPolicy::reserve`
-// in prepaid/prepaid_ledger.h).
+// in prepaid/prepaid_policy.h).
 
 #ifndef QUAYTRACK_RELAY_REQUEST_COST_H_
 #define QUAYTRACK_RELAY_REQUEST_COST_H_
--- a/relay/request_log.h
+++ b/relay/request_log.h
@@ -1,6 +1,6 @@
 // The two log lines about a request: `attempt_ended`, for each attempt that
 // gave the caller no answer, and `relay_ended`, for each request. Together they
-// tell which way it went; docs/OPERATIONS.md shows how to read them.
+// tell which way it went; docs/ON-CALL-relay.md shows how to read them.
 //
 //   RequestProgress progress;             // kept by the request on its way
 //   LogAttemptEnded(id, progress, Ran::kUnknown, took);
--- a/relay/retry.h
+++ b/relay/retry.h
@@ -10,9 +10,11 @@
 //   3. The service's retries are within their share (dispatch/retry_share.h).
 //
 // 1 comes first as it is free, 3 last as it counts the retry. A target that
-// turned the request away, or never got it, has not run it, so for 1 it doesn't
-// count against the route's number of targets; for 3 it does, since what is
-// bounded there is the load on the service's targets.
+// turned the request away, or never got it, has not run it, so the route's
+// number of targets doesn't keep it from being sent again; but its send counts
+// among those that the number is compared with once an attempt may have run.
+// For 3 every send counts, since the load on the service's targets is bounded
+// there.
 //
 //   shares.OnRequest(now, service);                       // once a request
 //   if (shares.TakeRetry(now, facts, placement, request)) // after an attempt
--- a/relay/target_follower.h
+++ b/relay/target_follower.h
@@ -23,9 +23,12 @@
 //     the list is kept, unless it was seen leaving.
 //   - Keeping ends `kRelistTime` after the first sign that the store is back.
 //     What vanishes after that is gone at once. Further signs of the return, as
-//     each user of the store gives one, don't extend it.
-//   - Whatever was kept and isn't listed again within `kRelistTime` of being
-//     seen missing is gone. This holds during the outage as well.
+//     each user of the store gives one, don't extend it; one that comes after
+//     that time begins a keeping of its own.
+//   - Whatever was kept and isn't listed again is gone `kRelistTime` after the
+//     first of the missing targets was seen missing: one timer serves them all,
+//     so none is kept longer, and a later one is kept for a shorter time. This
+//     holds during the outage as well.
 //
 // The inputs are the store's answers and `OnStoreReachable`; times are of the
 // loop. docs/FINDINGS.md has the two days on which an earlier form of the rule
--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -80,7 +80,7 @@
   for (auto& [name, it] : processes_) {
     if (it.alive) waitpid(it.pid, nullptr, 0);
   }
-  // docs/OPERATIONS.md reads what a run has left.
+  // docs/ON-CALL-relay.md reads what a run has left.
   if (!temporary_ || std::getenv("QUAYTRACK_KEEP_LOGS") != nullptr) return;
   std::error_code ignored;
   std::filesystem::remove_all(directory_, ignored);
