--- a/prepaid/grant_sizing.cc
+++ b/prepaid/grant_sizing.cc
@@ -5,17 +5,16 @@
 namespace quaytrack {
 namespace {
 
-// A grant is topped up when less than this part of its target is idle, so that
-// steady spending causes few writes. Of commit df506c1; not measured.
+// A grant is topped up when less than this fraction of its target size is idle,
+// so that steady spending causes few writes.
 constexpr double kLowWater = 0.5;
-// A write of the record tops up every grant of which less than this part is
-// idle, also those that are not low yet. Each customer becomes low at a time of
-// its own; were only that one topped up, a holder of many customers would write
-// the record again for the next one. (record_writes_test has the load: 40
+// A write of the record tops up every grant of which less than this fraction is
+// idle, even if it isn't low yet. Grants become low at different times; if only
+// the low ones were topped up, a holder with many customers would soon write
+// the record again for the next one. (record_writes_test covers this with 40
 // customers and 15 holders.)
 constexpr double kTopUp = 0.9;
-// It is cut when more than this part is. Of commit 9ed3aa6, 3.0 before;
-// measured only together with the other changes of that commit.
+// A grant is reduced when more than this fraction of its target size is idle.
 constexpr double kHighWater = 1.5;
 
 }  // namespace
@@ -28,7 +27,7 @@
 
 Tokens GrantSizing::Target(Instant now, const PrepaidRecord& record,
                            const PrepaidEntry& entry,
-                           const OwnAccount& account) const {
+                           const LocalAccount& account) const {
   const auto remaining =
       static_cast<double>(std::max<Tokens>(0, entry.limit - entry.settled));
   const auto members =
@@ -36,22 +35,22 @@
   const double baseline = remaining * policy_.baseline_share / members;
   const double rate = account.spending.PerSecond(now);
   const double headroom = std::min(rate * ToSeconds(policy_.headroom),
-                                   remaining * policy_.most_headroom_share);
+                                   remaining * policy_.max_headroom_share);
   return static_cast<Tokens>(std::max(baseline, headroom) *
-                             PartKept(now, remaining, account));
+                             ScarcityFactor(now, remaining, account));
 }
 
-double GrantSizing::PartKept(Instant now, double remaining,
-                             const OwnAccount& account) const {
-  const double plenty =
-      account.settling.PerSecond(now) * ToSeconds(policy_.plentiful);
-  return plenty <= remaining ? 1 : remaining / plenty;
+double GrantSizing::ScarcityFactor(Instant now, double remaining,
+                                   const LocalAccount& account) const {
+  const double full_size_minimum =
+      account.settling.PerSecond(now) * ToSeconds(policy_.full_size_horizon);
+  return full_size_minimum <= remaining ? 1 : remaining / full_size_minimum;
 }
 
 bool GrantSizing::GrantIsDue(Instant now, Duration since_write,
                              const StoreView& view,
                              const CustomerName& customer,
-                             const OwnAccount& account) const {
+                             const LocalAccount& account) const {
   const auto found = view.record.customers.find(customer);
   if (found == view.record.customers.end()) return true;
   const PrepaidEntry& entry = found->second;
@@ -71,7 +70,7 @@
 bool GrantSizing::ReleaseIsDue(Instant now, Duration since_write,
                                const StoreView& view,
                                const CustomerName& customer,
-                               const OwnAccount& account,
+                               const LocalAccount& account,
                                Tokens spendable) const {
   if (spendable < account.waiting) return true;
   const auto entry = view.record.customers.find(customer);
@@ -85,17 +84,18 @@
 
 Tokens GrantSizing::GrantChange(Instant now, const StoreView& view,
                                 const CustomerName& customer,
-                                const OwnAccount& account) const {
+                                const LocalAccount& account) const {
   const PrepaidEntry& entry = view.record.customers.at(customer);
   const Tokens idle = IdleIn(view, self_, customer, account);
-  // A limit that was lowered under use takes back what is idle.
+  // The limit was lowered below what is settled and granted: return idle
+  // tokens.
   if (entry.Free() < 0) return -std::clamp<Tokens>(idle, 0, -entry.Free());
   const Tokens target = Target(now, view.record, entry, account);
   const auto full = static_cast<double>(target) * kTopUp;
   const auto high = static_cast<double>(target) * kHighWater;
   if (static_cast<double>(idle - account.waiting) < full) {
-    const Tokens wish = target + account.waiting - idle;
-    return std::min(wish, Grantable(entry));
+    const Tokens increase = target + account.waiting - idle;
+    return std::min(increase, Grantable(entry));
   }
   if (static_cast<double>(idle) > high) return target - idle;
   return 0;
@@ -103,7 +103,7 @@
 
 Tokens GrantSizing::ToWithhold(Instant now, const StoreView& view,
                                const CustomerName& customer,
-                               const OwnAccount& account) const {
+                               const LocalAccount& account) const {
   const PrepaidEntry& entry = view.record.customers.at(customer);
   const auto target =
       static_cast<double>(Target(now, view.record, entry, account));
--- a/prepaid/prepaid_ledger.cc
+++ b/prepaid/prepaid_ledger.cc
@@ -9,10 +9,9 @@
 namespace quaytrack {
 namespace {
 
-// Writes from one confirmed state whose ends are unknown. Beyond that, the next
-// waits `report_every` and not `retry_after_failure`. Of commit df506c1; not
-// measured.
-constexpr std::size_t kMostUnconfirmed = 4;
+// Unanswered writes from one confirmed state. Beyond this number, the next
+// write waits for `report_every` instead of `retry_after_failure`.
+constexpr std::size_t kMaxUnconfirmed = 4;
 
 }  // namespace
 
@@ -36,7 +35,7 @@
                                    Tokens amount) {
   const auto limit = limits_.find(customer);
   if (limit == limits_.end()) return PrepaidVerdict::kHeld;
-  OwnAccount& account = accounts_[customer];
+  LocalAccount& account = accounts_[customer];
   if (Allowance(now, customer) >= amount) {
     account.held += amount;
     return PrepaidVerdict::kHeld;
@@ -47,11 +46,12 @@
 }
 
 // Whether the budget could hold the amount if this router had all of it that
-// isn't known to be spent. What other routers hold or have not reported may
-// come free, so it doesn't count; what is kept in reserve is never granted.
+// isn't known to be spent. What other routers hold or haven't reported may
+// become available again, so it doesn't count as spent. The reserve is never
+// granted.
 bool PrepaidLedger::CanEverHold(const CustomerName& customer, Tokens limit,
                                 Tokens amount) const {
-  const OwnAccount& account = AccountOf(accounts_, customer);
+  const LocalAccount& account = AccountOf(accounts_, customer);
   Tokens settled = account.unreported;
   if (confirmed_) {
     const auto entry = confirmed_->record.customers.find(customer);
@@ -68,7 +68,7 @@
 void PrepaidLedger::Settle(Instant now, const CustomerName& customer,
                            Tokens held, Tokens cost) {
   if (!limits_.contains(customer)) return;
-  OwnAccount& account = accounts_[customer];
+  LocalAccount& account = accounts_[customer];
   account.spending.Add(now, static_cast<double>(cost));
   account.held = std::max<Tokens>(0, account.held - held);
   account.unreported += cost;
@@ -78,12 +78,12 @@
   accounts_[customer].waiting = amount;
 }
 
-bool PrepaidLedger::StillWithheld(Instant now) const {
+bool PrepaidLedger::IsWithheld(Instant now) const {
   return now < stamp_ + policy_.withhold_time;
 }
 
-Tokens PrepaidLedger::LeastIdle(const CustomerName& customer) const {
-  const OwnAccount& account = AccountOf(accounts_, customer);
+Tokens PrepaidLedger::MinIdle(const CustomerName& customer) const {
+  const LocalAccount& account = AccountOf(accounts_, customer);
   Tokens out = IdleIn(*confirmed_, self_, customer, account);
   for (const StoreView& it : unconfirmed_) {
     out = std::min(out, IdleIn(it, self_, customer, account));
@@ -94,8 +94,8 @@
 Tokens PrepaidLedger::Allowance(Instant now,
                                 const CustomerName& customer) const {
   if (!confirmed_ || fenced_ || left_) return 0;
-  const OwnAccount& account = AccountOf(accounts_, customer);
-  const bool withheld = StillWithheld(now);
+  const LocalAccount& account = AccountOf(accounts_, customer);
+  const bool withheld = IsWithheld(now);
   const auto allowance = [&](const StoreView& view) {
     const Tokens idle = IdleIn(view, self_, customer, account);
     return withheld ? idle - SpentIn(view.spend, customer).withheld : idle;
@@ -123,7 +123,7 @@
 }
 
 bool PrepaidLedger::RecordIsDue(Instant now) const {
-  if (leaving_ || !joined_ || found_) return true;
+  if (leaving_ || !joined_ || later_era_state_) return true;
   const Duration since = now - last_write_;
   const bool waits = AwaitsDeclarations(now, confirmed_->record);
   for (const auto& [customer, limit] : limits_) {
@@ -132,10 +132,10 @@
       return true;
     }
     const auto entry = confirmed_->record.customers.find(customer);
-    const bool old = entry != confirmed_->record.customers.end() &&
-                     entry->second.limit_version < limits_version_ &&
-                     entry->second.limit != limit;
-    if (old && since >= policy_.spacing) return true;
+    const bool outdated = entry != confirmed_->record.customers.end() &&
+                          entry->second.limit_version < limits_version_ &&
+                          entry->second.limit != limit;
+    if (outdated && since >= policy_.spacing) return true;
   }
   return since >= policy_.record_transfers_every && HasUnrecordedTransfers();
 }
@@ -144,10 +144,10 @@
   const Duration since = now - last_write_;
   bool unreported = false;
   for (const auto& [customer, limit] : limits_) {
-    const OwnAccount& account = AccountOf(accounts_, customer);
+    const LocalAccount& account = AccountOf(accounts_, customer);
     unreported = unreported || account.unreported > 0;
     const Tokens withheld = SpentIn(confirmed_->spend, customer).withheld;
-    if (withheld <= 0 || !StillWithheld(now)) continue;
+    if (withheld <= 0 || !IsWithheld(now)) continue;
     if (sizing_.ReleaseIsDue(now, since, *confirmed_, customer, account,
                              Allowance(now, customer))) {
       return true;
@@ -157,7 +157,7 @@
 }
 
 bool PrepaidLedger::MayWrite(Instant now) const {
-  const bool blocked = !keeps_grants_ || in_flight_ || needs_read_ || left_ ||
+  const bool blocked = !is_holder_ || in_flight_ || needs_read_ || left_ ||
                        fenced_ || now < not_before_ || limits_version_ == 0;
   if (blocked || !confirmed_) return false;
   const bool urgent = leaving_ || !joined_;
@@ -171,7 +171,7 @@
   const bool changes_record = RecordIsDue(now);
   if (!changes_record && !ReportIsDue(now)) return std::nullopt;
   PrepaidWrite out;
-  out.declares = found_.has_value();
+  out.declares = later_era_state_.has_value();
   StoreView next = out.declares ? DeclaredView(out) : *confirmed_;
   next.spend.sequence = ++sequence_;
   next.spend.stamp_ms = StampMs(now);
@@ -183,10 +183,10 @@
   if (leaving_) next.record.ChargeAndRemove(self_, nullptr);
   out.leaves = leaving_;
   out.era = next.era;
-  out.expected_spend = next.spend_at;
+  out.expected_spend = next.spend_key;
   out.spend = next.spend;
   out.changes_record = changes_record;
-  out.expected_record = next.record_at;
+  out.expected_record = next.record_key;
   out.record = next.record;
   unconfirmed_.push_back(std::move(next));
   in_flight_ = true;
@@ -217,7 +217,7 @@
 void PrepaidLedger::ResizeGrants(Instant now, StoreView& view) const {
   for (const auto& [customer, limit] : limits_) {
     PrepaidEntry& entry = view.record.customers[customer];
-    const OwnAccount& account = AccountOf(accounts_, customer);
+    const LocalAccount& account = AccountOf(accounts_, customer);
     const Tokens idle = IdleIn(view, self_, customer, account);
     const Tokens change =
         leaving_ ? -std::max<Tokens>(0, idle)
@@ -245,83 +245,86 @@
 
 bool PrepaidLedger::AwaitsDeclarations(Instant now,
                                        const PrepaidRecord& record) const {
-  if (found_) return true;
-  if (declared_at_ && now < *declared_at_ + policy_.declare_time) return true;
+  if (later_era_state_) return true;
+  if (declared_at_ && now < *declared_at_ + policy_.post_declaration_wait)
+    return true;
   if (record.undeclared.empty()) return false;
-  return now < undeclared_since_ + policy_.undeclared_time;
+  return now < undeclared_since_ + policy_.declaration_timeout;
 }
 
-void PrepaidLedger::NoteUndeclared(Instant now) {
+void PrepaidLedger::TrackUndeclared(Instant now) {
   const PrepaidRecord& record = confirmed_->record;
   if (record.undeclared.empty() || undeclared_era_ == record.era) return;
   undeclared_since_ = now;
   undeclared_era_ = record.era;
 }
 
-// Takes what the store has in a later era than what is known, or in one in
-// which nobody has restored the record yet. Returns whether it is to be
-// declared.
+// Stores `state` for a declaration if its era is later than the confirmed one,
+// or if no router has restored the record in its era yet. Returns whether its
+// era is later than the confirmed one.
 bool PrepaidLedger::OnReadOfLaterEra(Instant now, const PrepaidState& state) {
   const bool later = confirmed_ && confirmed_->era < state.era;
   const bool unrestored = state.record.era != 0 && state.record.era < state.era;
   if (!later && !unrestored) {
-    found_.reset();
+    later_era_state_.reset();
     return false;
   }
-  found_ = state;
+  later_era_state_ = state;
   if (!later) return false;
   if (state.record.era == state.era && state.record.IsGone(self_)) {
     fenced_ = true;
   }
-  // A write of the earlier era that the copy shows was done.
+  // A write of the earlier era is shown by the restored copy, so it was
+  // applied.
   const auto self = state.spends.find(self_);
   if (self == state.spends.end()) return true;
   for (const StoreView& it : unconfirmed_) {
     const bool done = it.spend.sequence == self->second.spend.sequence;
     if (!done || it.era == state.era) continue;
     StoreView view = it;
-    // Others may have written since it was made.
-    MergeKnown(confirmed_->record, view.record);
+    // Other routers may have written since this view was made.
+    MergeRecord(confirmed_->record, view.record);
     Confirm(now, std::move(view));
     return true;
   }
   return true;
 }
 
-// What the store was found to have, with what this router knows written again.
+// The store's restored state, merged with what this router knows.
 StoreView PrepaidLedger::DeclaredView(PrepaidWrite& write) const {
   StoreView out;
-  out.era = found_->era;
-  out.record = found_->record;
-  out.record_at = {found_->key_era, found_->revision};
-  MergeKnown(confirmed_->record, out.record);
-  if (found_->record.era < found_->era) {
-    if (found_->revision != 0) write.earlier_record = out.record_at;
-    out.record_at = {found_->era, 0};
-    out.record.era = found_->era;
+  out.era = later_era_state_->era;
+  out.record = later_era_state_->record;
+  out.record_key = {later_era_state_->key_era, later_era_state_->revision};
+  MergeRecord(confirmed_->record, out.record);
+  if (later_era_state_->record.era < later_era_state_->era) {
+    if (later_era_state_->revision != 0) write.earlier_record = out.record_key;
+    out.record_key = {later_era_state_->era, 0};
+    out.record.era = later_era_state_->era;
     out.record.undeclared = out.record.members;
   }
   AwaitPeers(out.record);
-  out.spend_at = {found_->era, 0};
-  const auto self = found_->spends.find(self_);
-  if (self != found_->spends.end()) {
+  out.spend_key = {later_era_state_->era, 0};
+  const auto self = later_era_state_->spends.find(self_);
+  if (self != later_era_state_->spends.end()) {
     const StoredAt at{self->second.key_era, self->second.revision};
-    if (at.key_era == found_->era) {
-      out.spend_at = at;
+    if (at.key_era == later_era_state_->era) {
+      out.spend_key = at;
     } else {
       write.earlier_spend = at;
     }
   }
-  DeclareOwn(out);
+  DeclareSelf(out);
   return out;
 }
 
 void PrepaidLedger::OnDeclared(Instant now) {
-  found_.reset();
+  later_era_state_.reset();
   declared_at_ = now;
 }
 
-// A peer that joined since the copy may be in no record that is known here.
+// Adds peers that joined after the copy was taken: the records known to this
+// router may show none of them.
 void PrepaidLedger::AwaitPeers(PrepaidRecord& record) const {
   for (const auto& [vm, it] : peers_) {
     if (record.IsKnown(it)) continue;
@@ -330,9 +333,10 @@
   }
 }
 
-// Sets this router's part to what it has reported as spent, and to what it may
-// still spend in every state that the store may have been in.
-void PrepaidLedger::DeclareOwn(StoreView& view) const {
+// Sets this router's contribution to what it has reported as spent, and its
+// grant to what it may still spend in every state that the store may have been
+// in.
+void PrepaidLedger::DeclareSelf(StoreView& view) const {
   std::set<CustomerName> customers;
   for (const auto& [it, entry] : confirmed_->record.customers) {
     customers.insert(it);
@@ -346,18 +350,19 @@
     entry.settled += spent - contributed;
     contributed = spent;
     entry.grants[self_] = 0;
-    const OwnAccount& account = AccountOf(accounts_, it);
-    entry.grants[self_] = LeastIdle(it) - IdleIn(view, self_, it, account);
+    const LocalAccount& account = AccountOf(accounts_, it);
+    entry.grants[self_] = MinIdle(it) - IdleIn(view, self_, it, account);
   }
 }
 
 // --- What the store has ------------------------------------------------------
 
-// What a dead member was charged is no rate of spending.
+// Adds newly settled tokens to the settling rates, unless a member has gone: it
+// may have been charged for a dead router's grant, which isn't spending.
 void PrepaidLedger::MeasureSettling(Instant now, const PrepaidRecord& next) {
   if (!confirmed_) return;
   const PrepaidRecord& last = confirmed_->record;
-  // What is written again in a later era was settled before.
+  // What is restored in a later era was settled before.
   if (last.era != next.era) return;
   const bool all_stay = std::includes(next.members.begin(), next.members.end(),
                                       last.members.begin(), last.members.end());
@@ -381,29 +386,30 @@
   if (joined_ && !member && !leaving_) fenced_ = true;
   if (leaving_ && joined_ && !member) left_ = true;
   joined_ = joined_ || member;
-  // A report says nothing about the record.
-  const bool newer = !confirmed_ || view.era != confirmed_->era ||
-                     view.record_at.revision != confirmed_->record_at.revision;
-  if (newer) record_seen_ = now;
+  // The answer to a report doesn't show the record.
+  const bool newer =
+      !confirmed_ || view.era != confirmed_->era ||
+      view.record_key.revision != confirmed_->record_key.revision;
+  if (newer) record_confirmed_at_ = now;
   confirmed_ = std::move(view);
   unconfirmed_.clear();
-  NoteUndeclared(now);
+  TrackUndeclared(now);
 }
 
 void PrepaidLedger::ReplaceRecord(Instant now, StoredAt at,
                                   PrepaidRecord record) {
   MeasureSettling(now, record);
-  record_seen_ = now;
-  confirmed_->record_at = at;
+  record_confirmed_at_ = now;
+  confirmed_->record_key = at;
   confirmed_->record = std::move(record);
-  NoteUndeclared(now);
+  TrackUndeclared(now);
 }
 
 bool PrepaidLedger::NeedsRead(Instant now) const {
-  if (confirmed_ && !keeps_grants_) return false;
+  if (confirmed_ && !is_holder_) return false;
   if (needs_read_ || !confirmed_) return !in_flight_;
   if (in_flight_ || now < not_before_) return false;
-  const Duration age = now - record_seen_;
+  const Duration age = now - record_confirmed_at_;
   const auto members = static_cast<int>(confirmed_->record.members.size());
   const Duration refresh = std::max<Duration>(
       policy_.refresh_every, policy_.refresh_per_member * members);
@@ -426,30 +432,31 @@
   if (state.era < store_era_) return;
   store_era_ = state.era;
   needs_read_ = false;
-  record_seen_ = now;
+  record_confirmed_at_ = now;
   StoreView next;
   next.era = state.era;
-  next.record_at = {state.key_era, state.revision};
+  next.record_key = {state.key_era, state.revision};
   next.record = state.record;
   predecessors_ = state.spends;
   for (const Incarnation& it : state.record.members) {
-    if (VmOf(it) == VmOf(self_)) keeps_grants_ = true;
+    if (VmOf(it) == VmOf(self_)) is_holder_ = true;
   }
   const auto self = state.spends.find(self_);
   if (self != state.spends.end()) {
-    next.spend_at = {self->second.key_era, self->second.revision};
+    next.spend_key = {self->second.key_era, self->second.revision};
     next.spend = self->second.spend;
     predecessors_.erase(self_);
   }
   const bool declares = OnReadOfLaterEra(now, state);
   if (declares && !IsDeclared(next)) return;
-  // The account is as it was, so what was tried may still be done, or has been
-  // done since the account was read.
-  const bool same = confirmed_ && next.era == confirmed_->era &&
-                    next.spend_at.key_era == confirmed_->spend_at.key_era &&
-                    next.spend_at.revision == confirmed_->spend_at.revision;
-  if (same) {
-    return ReplaceRecord(now, next.record_at, std::move(next.record));
+  // The account is unchanged, so unanswered writes may still be applied, or
+  // were applied after the account was read.
+  const bool same_account =
+      confirmed_ && next.era == confirmed_->era &&
+      next.spend_key.key_era == confirmed_->spend_key.key_era &&
+      next.spend_key.revision == confirmed_->spend_key.revision;
+  if (same_account) {
+    return ReplaceRecord(now, next.record_key, std::move(next.record));
   }
   if (declares) OnDeclared(now);
   for (StoreView& it : unconfirmed_) {
@@ -458,7 +465,7 @@
   Confirm(now, std::move(next));
 }
 
-// A declaration whose answer was lost was done.
+// Whether the view shows an unanswered declaration, which was thus applied.
 bool PrepaidLedger::IsDeclared(const StoreView& view) const {
   return std::any_of(
       unconfirmed_.begin(), unconfirmed_.end(), [&](const StoreView& it) {
@@ -469,7 +476,7 @@
 void PrepaidLedger::OnNewerRecord(Instant now, std::int64_t revision,
                                   const PrepaidRecord& record) {
   if (!confirmed_ || confirmed_->era != store_era_) return;
-  ReplaceRecord(now, {confirmed_->record_at.key_era, revision}, record);
+  ReplaceRecord(now, {confirmed_->record_key.key_era, revision}, record);
   needs_read_ = false;
 }
 
@@ -483,17 +490,18 @@
   switch (outcome) {
     case PrepaidOutcome::kApplied: {
       StoreView applied = std::move(unconfirmed_.back());
-      applied.spend_at.revision = revision;
+      applied.spend_key.revision = revision;
       if (last_changed_record_) {
-        applied.record_at.revision = revision;
+        applied.record_key.revision = revision;
         predecessors_.clear();
       }
-      if (found_) OnDeclared(now);
+      if (later_era_state_) OnDeclared(now);
       return Confirm(now, std::move(applied));
     }
     case PrepaidOutcome::kRejected:
-      // The caller passes on the record that it was shown, or reads it; the
-      // write is due again at once, or others would always be first.
+      // The caller passes on the record that the store returned, or reads it.
+      // The write is due again at once; otherwise other routers would always
+      // write first.
       unconfirmed_.pop_back();
       stamp_ = earlier_stamp_;
       last_write_ = earlier_write_;
@@ -507,8 +515,8 @@
     case PrepaidOutcome::kUnknown:
       needs_read_ = true;
       not_before_ = now + policy_.retry_after_failure;
-      if (unconfirmed_.size() > kMostUnconfirmed) {
-        // Kept: each of them may still be applied.
+      if (unconfirmed_.size() > kMaxUnconfirmed) {
+        // All stay in `unconfirmed_`, as each may still be applied.
         not_before_ = now + policy_.report_every;
       }
       return;
@@ -522,12 +530,12 @@
                                                  const Incarnation& receiver,
                                                  Tokens amount, bool all) {
   if (leaving_ || !joined_ || !limits_.contains(customer)) return std::nullopt;
-  // A receiver that the record doesn't show could not be told from a dead one
-  // when the transfer is recorded.
+  // A receiver that the record doesn't show couldn't be distinguished from a
+  // dead one when the transfer is recorded.
   if (!confirmed_->record.HasMember(receiver)) return std::nullopt;
   const Tokens idle = Allowance(now, customer);
-  const Tokens most = all ? idle : idle / 2;
-  const Tokens transferred = std::min(most, amount);
+  const Tokens max_amount = all ? idle : idle / 2;
+  const Tokens transferred = std::min(max_amount, amount);
   if (transferred <= 0) return std::nullopt;
   Tokens& total = accounts_[customer].transferred_out[receiver];
   total += transferred;
@@ -537,8 +545,8 @@
 void PrepaidLedger::OnTransfer(const CustomerName& customer,
                                const Incarnation& giver, Tokens total) {
   if (left_ || leaving_) return;
-  Tokens& known = accounts_[customer].transferred_in[giver];
-  known = std::max(known, total);
+  Tokens& recorded_total = accounts_[customer].transferred_in[giver];
+  recorded_total = std::max(recorded_total, total);
 }
 
 }  // namespace quaytrack
--- a/prepaid/prepaid_policy.h
+++ b/prepaid/prepaid_policy.h
@@ -1,15 +1,13 @@
 // PrepaidPolicy: the constants by which routers share a prepaid budget.
 //
-// Two dangers pull against each other. A router that keeps too little refuses
-// requests while the store is away. A router that keeps too much takes it from
-// the others, and if all power is lost what it might have spent is charged to
-// the customer, since nobody knows how much it was. docs/design/prepaid.md has
-// the alternatives and the tables of the trials; hashes name commits, whose
-// messages have their trials.
+// Grant sizes balance two risks. A router that keeps too little refuses
+// requests while the store is unreachable. A router that keeps too much takes
+// tokens from the others, and if all routers lose power, whatever they might
+// have spent is charged to the customer, because the true amount is unknown.
+// docs/design/prepaid.md compares other designs and values.
 //
-// Shares are parts of 1. What each constant decides stands with the code that
-// uses it: prepaid/grant_sizing.h for the sizes, prepaid/prepaid_ledger.h for
-// the times.
+// Shares are fractions of 1. prepaid/grant_sizing.h describes how the sizes are
+// used, prepaid/prepaid_ledger.h how the times are used.
 
 #ifndef QUAYTRACK_PREPAID_PREPAID_POLICY_H_
 #define QUAYTRACK_PREPAID_PREPAID_POLICY_H_
@@ -23,68 +21,64 @@
 struct PrepaidPolicy {
   // --- Sizes of grants -------------------------------------------------------
 
-  // Part of what remains of a budget that all routers together keep granted,
-  // in equal parts (flag --standing-share). docs/design/prepaid.md has the
-  // table: 0.55, 0.42 and 0.30 on four days.
+  // Fraction of a budget's remaining tokens that all routers together keep
+  // granted, in equal amounts (flag --standing-share).
   double baseline_share = 0.3;
-  // A router keeps its own spending of this long, if that is more than its
-  // baseline (flag --cover-s). 3f13dcd chose; docs/design/prepaid.md has the
-  // table: 0, 4, 5, 8 and 10 s.
+  // A router keeps as much as it spends in this time, if that is more than its
+  // baseline (flag --cover-s).
   Duration headroom = std::chrono::seconds(5);
-  // Most that the headroom may take of what remains. 02163af; not measured.
-  double most_headroom_share = 0.6;
-  // Both are kept in full while what remains of the budget lasts this long at
-  // the rate at which all routers spend it, and fall in proportion below. What
-  // an outage refuses of a budget that runs out can be spent after it; what is
-  // charged when all power is lost is gone. Trials on three
-  // deployments: of what callers are owed on days with trouble, 30 s served
-  // 0.019, 0.007 and 0.010 more and took 0.02 to 0.06 on days of cuts alone;
-  // docs/design/prepaid.md has 20 and 45 s.
-  Duration plentiful = std::chrono::seconds(30);
-  // Part of its target size that a router may spend before `withhold_time` has
-  // passed. 026eedf, one trial on two days: credit 0.505 and 0.480 with 0.25, a
-  // time of 2 s and reports each 0.6 s; 0.466 and 0.491 with 0.35, 3 s and 1 s.
+  // Upper bound of the headroom, as a fraction of the remaining tokens.
+  double max_headroom_share = 0.6;
+  // Baseline and headroom apply in full while the remaining tokens last this
+  // long at the rate at which all routers spend them; below that, both fall in
+  // proportion. Tokens that an outage leaves unspent can be spent after it, but
+  // tokens charged after a power loss are gone. On three deployments, 30 s
+  // served 0.019, 0.007 and 0.010 more of what callers are owed on days with
+  // faults, and cost 0.02 to 0.06 on days with store outages alone.
+  // docs/design/prepaid.md also has 20 and 45 s.
+  Duration full_size_horizon = std::chrono::seconds(30);
+  // Fraction of a grant's target size that a router may spend before
+  // `withhold_time` has passed. With 0.25, a `withhold_time` of 2 s and reports
+  // every 0.6 s, two days scored 0.505 and 0.480; with 0.35, 3 s and 1 s, they
+  // scored 0.466 and 0.491.
   double spendable_share = 0.25;
-  // How long after a write the withheld part is left alone. The same trial.
+  // How long after a write the withheld tokens may not be spent.
   Duration withhold_time = std::chrono::milliseconds(2000);
-  // Part of a limit that is never granted, against errors of counting.
-  // df506c1; not measured.
+  // Fraction of a limit that is never granted, as a margin for counting errors.
   double reserve = 0.01;
 
   // --- Times of writes -------------------------------------------------------
 
-  // Longest time that spending stays unreported. 3f13dcd, 600 ms before: with
-  // `spacing`, store calls of a day fell from 5,917 to 4,124.
+  // Longest time that spending stays unreported. Raising this from 600 ms and
+  // `spacing` from 250 ms reduced a day's store calls from 5,917 to 4,124.
   Duration report_every = std::chrono::milliseconds(1000);
-  // Longest time that transfers stay out of the record while the store answers.
-  // ed1ba9f; not measured.
+  // Longest time that transfers stay unrecorded while the store answers.
   Duration record_transfers_every = std::chrono::milliseconds(1500);
-  // Shortest time between two writes. 3f13dcd, 250 ms before.
+  // Shortest time between two writes.
   Duration spacing = std::chrono::milliseconds(400);
-  // The same while a request waits for a grant. df506c1; not measured.
+  // The same while a request waits for a grant.
   Duration urgent_spacing = std::chrono::milliseconds(10);
-  // Pause before the next write, and before a read that is due by age alone,
-  // after a call that the store didn't answer. df506c1; not measured.
+  // Pause after a call that the store didn't answer, before the next write and
+  // before a read that is due only because the record is old.
   Duration retry_after_failure = std::chrono::milliseconds(300);
 
-  // --- After the store came back from an older copy of itself ----------------
+  // --- After the store was restored from an older copy -----------------------
 
-  // Longest time for which nothing is granted while members haven't declared
-  // their parts.
-  Duration undeclared_time = std::chrono::seconds(30);
-  // The same, at a router that has declared its own, for members that no record
-  // shows.
-  Duration declare_time = std::chrono::seconds(1);
+  // Longest time that granting stops while members have yet to declare what
+  // they spent and hold.
+  Duration declaration_timeout = std::chrono::seconds(30);
+  // How long a router that has declared itself still grants nothing, in case
+  // members that no record shows are yet to declare themselves.
+  Duration post_declaration_wait = std::chrono::seconds(1);
 
   // --- Times of reads --------------------------------------------------------
 
-  // Age at which the record is read anew. 1e7c5f4; not measured.
+  // Age at which the record is read again.
   Duration refresh_every = std::chrono::seconds(6);
-  // The same for each member, if that is more, so that all reads of the fleet
-  // together don't grow with it. d117756; not measured.
+  // The same per member, if that adds up to more, so that the fleet's total
+  // read rate doesn't grow with its size.
   Duration refresh_per_member = std::chrono::milliseconds(750);
   // The same while a request waits for more than this router may spend.
-  // 1e7c5f4, whose trials show it only together with the read at a new peer.
   Duration refresh_waiting = std::chrono::milliseconds(400);
 };
 
--- a/prepaid/prepaid_record.cc
+++ b/prepaid/prepaid_record.cc
@@ -11,8 +11,8 @@
 
 using Json = nlohmann::json;
 
-// Incarnations as the numbers that stand for them in a stored record: with many
-// transfers, their names would be most of it.
+// Numbers the incarnations of a stored record. If each transfer held the names,
+// they would make up most of a record with many transfers.
 class NameTable {
  public:
   std::size_t NumberOf(const Incarnation& name) {
@@ -27,8 +27,8 @@
   Json names_ = Json::array();
 };
 
-// Places in the array of an entry.
-enum EntryPlace {
+// Positions in the array of a stored entry.
+enum EntryField {
   kLimit,
   kVersion,
   kSettled,
@@ -39,24 +39,25 @@
 
 Json EntryToJson(const PrepaidEntry& entry, NameTable& names) {
   Json grants = Json::array();
-  for (const auto& [who, amount] : entry.grants) {
-    grants.push_back({names.NumberOf(who), amount});
+  for (const auto& [router, amount] : entry.grants) {
+    grants.push_back({names.NumberOf(router), amount});
   }
-  Json moved = Json::array();
+  Json transferred = Json::array();
   for (const auto& [pair, total] : entry.transferred) {
-    moved.push_back(
+    transferred.push_back(
         {names.NumberOf(pair.giver), names.NumberOf(pair.receiver), total});
   }
   Json contributed = Json::array();
-  for (const auto& [who, amount] : entry.contributed) {
-    if (amount != 0) contributed.push_back({names.NumberOf(who), amount});
+  for (const auto& [router, amount] : entry.contributed) {
+    if (amount != 0) contributed.push_back({names.NumberOf(router), amount});
   }
-  Json out = {entry.limit, entry.limit_version, entry.settled, grants, moved};
+  Json out = {entry.limit, entry.limit_version, entry.settled, grants,
+              transferred};
   if (!contributed.empty()) out.push_back(std::move(contributed));
   return out;
 }
 
-// Throws Json::exception, also for a number that stands for nothing.
+// Throws Json::exception if `number` isn't the number of a name.
 Incarnation NameAt(const Json& names, const Json& number) {
   return Incarnation(names.at(number.get<std::size_t>()).get<std::string>());
 }
@@ -102,14 +103,14 @@
   return out;
 }
 
-Tokens WithheldIn(const PrepaidSpend* spend, const CustomerName& customer) {
+Tokens WithheldIn(const SpendAccount* spend, const CustomerName& customer) {
   if (spend == nullptr) return 0;
   const auto it = spend->customers.find(customer);
   return it == spend->customers.end() ? 0 : it->second.withheld;
 }
 
-PrepaidSpend SpendFromJson(const Json& json) {
-  PrepaidSpend out;
+SpendAccount SpendFromJson(const Json& json) {
+  SpendAccount out;
   out.sequence = json.at("sequence").get<std::uint64_t>();
   out.stamp_ms = json.at("stamp").get<std::int64_t>();
   out.boot = json.at("boot").get<std::string>();
@@ -130,7 +131,7 @@
 }
 
 Tokens PrepaidRecord::ChargeAndRemove(const Incarnation& member,
-                                      const PrepaidSpend* unspent) {
+                                      const SpendAccount* unspent) {
   Tokens out = 0;
   members.erase(member);
   undeclared.erase(member);
@@ -139,20 +140,20 @@
     const auto grant = entry.grants.find(member);
     if (grant == entry.grants.end()) continue;
     const Tokens returned = WithheldIn(unspent, name);
-    // Negative when it had passed on more than its grant, out of what it had
-    // received; the giver's record of that transfer makes up for it.
+    // Negative if the member gave away received tokens beyond its grant. The
+    // charge is corrected when the giver records the transfer to the member.
     const Tokens charge = grant->second - returned;
     entry.settled += charge;
     entry.contributed[member] += charge;
     out += charge;
     entry.grants.erase(grant);
   }
-  Forget();
+  PruneGone();
   return out;
 }
 
-void PrepaidRecord::Forget() {
-  while (gone.size() > kMostGone) {
+void PrepaidRecord::PruneGone() {
+  while (gone.size() > kMaxGone) {
     writes.erase(gone.front());
     for (auto& [name, entry] : customers) {
       entry.contributed.erase(gone.front());
@@ -169,12 +170,12 @@
 void PrepaidRecord::RecordTransfer(const CustomerName& customer,
                                    const TransferPair& pair, Tokens total) {
   PrepaidEntry& entry = customers[customer];
-  Tokens& known = entry.transferred[pair];
-  const Tokens amount = total - known;
+  Tokens& recorded = entry.transferred[pair];
+  const Tokens amount = total - recorded;
   if (amount <= 0) return;
-  known = total;
-  // The grant of a side that is gone was charged, so the charge takes its
-  // place.
+  recorded = total;
+  // A side that is no longer a member has no grant: it was charged, so the
+  // charge is corrected instead.
   if (HasMember(pair.giver)) {
     entry.grants[pair.giver] -= amount;
   } else {
@@ -206,11 +207,11 @@
   Json gone = Json::array();
   for (const Incarnation& it : record.gone) gone.push_back(names.NumberOf(it));
   Json writes = Json::array();
-  for (const auto& [who, number] : record.writes) {
-    writes.push_back({names.NumberOf(who), number});
+  for (const auto& [router, number] : record.writes) {
+    writes.push_back({names.NumberOf(router), number});
   }
   Json out = {{"customers", customers}, {"members", members}};
-  // Of a store that names no eras, the record keeps the form it had before.
+  // If the store has no eras, the record keeps the form without this key.
   if (record.era != 0) out["era"] = record.era;
   if (!undeclared.empty()) out["undeclared"] = std::move(undeclared);
   if (!gone.empty()) out["gone"] = std::move(gone);
@@ -223,7 +224,7 @@
   return FromCbor(bytes, RecordFromJson);
 }
 
-std::string EncodeSpend(const PrepaidSpend& spend) {
+std::string EncodeSpend(const SpendAccount& spend) {
   Json customers = Json::object();
   for (const auto& [name, it] : spend.customers) {
     customers[name.value] = {it.spent, it.withheld};
@@ -236,7 +237,7 @@
   return ToCbor(out);
 }
 
-std::optional<PrepaidSpend> DecodeSpend(std::string_view bytes) {
+std::optional<SpendAccount> DecodeSpend(std::string_view bytes) {
   return FromCbor(bytes, SpendFromJson);
 }
 
--- a/prepaid/record_change.cc
+++ b/prepaid/record_change.cc
@@ -4,7 +4,7 @@
 namespace {
 
 bool WithheldIsUnspent(const PrepaidIdentity& identity,
-                       const PrepaidSpend& spend, std::int64_t age_ms,
+                       const SpendAccount& spend, std::int64_t age_ms,
                        Duration withhold_time) {
   const bool same_clock = !spend.boot.empty() && spend.boot == identity.boot;
   const auto age = std::chrono::milliseconds(age_ms);
@@ -19,7 +19,7 @@
       .count();
 }
 
-void ReportSpending(const OwnAccounts& accounts, StoreView& view) {
+void ReportSpending(const LocalAccounts& accounts, StoreView& view) {
   view.reported.clear();
   for (const auto& [customer, account] : accounts) {
     if (account.unreported == 0) continue;
@@ -39,7 +39,7 @@
     charged.dead = it;
     const auto stored = accounts.find(it);
     if (stored != accounts.end()) {
-      const PrepaidSpend& spend = stored->second.spend;
+      const SpendAccount& spend = stored->second.spend;
       charged.age_ms = StampMs(identity.started) - spend.stamp_ms;
       charged.withheld_unspent =
           spend.era == record.era &&
@@ -48,7 +48,7 @@
     out.push_back(charged);
   }
   for (ChargedPredecessor& it : out) {
-    const PrepaidSpend* unspent =
+    const SpendAccount* unspent =
         it.withheld_unspent ? &accounts.at(it.dead).spend : nullptr;
     it.charged = record.ChargeAndRemove(it.dead, unspent);
   }
@@ -66,7 +66,7 @@
   }
 }
 
-void RecordTransfers(const Incarnation& self, const OwnAccounts& accounts,
+void RecordTransfers(const Incarnation& self, const LocalAccounts& accounts,
                      PrepaidRecord& record) {
   for (const auto& [customer, account] : accounts) {
     for (const auto& [giver, total] : account.transferred_in) {
--- a/prepaid/record_merge.cc
+++ b/prepaid/record_merge.cc
@@ -12,39 +12,40 @@
   return it == map.end() ? typename Map::mapped_type{} : it->second;
 }
 
-// What a router has received by transfers, less what it has given.
-Tokens Received(const PrepaidEntry& entry, const Incarnation& who) {
+// What a router has received by transfers, less what it has given. May be
+// negative.
+Tokens NetReceived(const PrepaidEntry& entry, const Incarnation& router) {
   Tokens out = 0;
   for (const auto& [pair, total] : entry.transferred) {
-    if (pair.receiver == who) out += total;
-    if (pair.giver == who) out -= total;
+    if (pair.receiver == router) out += total;
+    if (pair.giver == router) out -= total;
   }
   return out;
 }
 
-// A router's part of one customer's budget, apart from transfers.
-struct Part {
-  // Granted to it at present; of one that is gone, what is left of its
-  // transfers when its charge is taken off.
+// A router's share of one customer's budget, apart from transfers.
+struct RouterBalance {
+  // Its current grant without its net transfers. For a router that is gone,
+  // only the negated net transfers, as its grant was charged.
   Tokens drawn = 0;
   Tokens contributed = 0;
 
   Tokens total() const { return drawn + contributed; }
 };
 
-Part PartOf(const PrepaidEntry& entry, const Incarnation& who) {
-  return {ValueIn(entry.grants, who) - Received(entry, who),
-          ValueIn(entry.contributed, who)};
+RouterBalance BalanceOf(const PrepaidEntry& entry, const Incarnation& router) {
+  return {ValueIn(entry.grants, router) - NetReceived(entry, router),
+          ValueIn(entry.contributed, router)};
 }
 
-// What was settled by routers that are forgotten.
-Tokens SettledByForgotten(const PrepaidEntry& entry) {
+// What was settled by routers that were pruned from the record.
+Tokens SettledByPruned(const PrepaidEntry& entry) {
   Tokens out = entry.settled;
-  for (const auto& [who, amount] : entry.contributed) out -= amount;
+  for (const auto& [router, amount] : entry.contributed) out -= amount;
   return out;
 }
 
-// Of two records, and of each router, which shows the later part.
+// Merges the entries of two records, taking each router's later balance.
 class Merge {
  public:
   Merge(const PrepaidRecord& a, const PrepaidRecord& b) : a_(a), b_(b) {
@@ -71,37 +72,37 @@
       Tokens& at = out.transferred[pair];
       at = std::max(at, total);
     }
-    out.settled = std::max(SettledByForgotten(a), SettledByForgotten(b));
+    out.settled = std::max(SettledByPruned(a), SettledByPruned(b));
     for (const Incarnation& it : routers_) {
-      const Tokens received = Received(out, it);
-      Part part;
+      const Tokens received = NetReceived(out, it);
+      RouterBalance balance;
       if (IsGone(it)) {
-        part.contributed = TotalOfGone(it, a, b) + received;
+        balance.contributed = GoneTotal(it, a, b) + received;
       } else {
-        part = PartOf(IsLater(b_, a_, it) ? b : a, it);
-        part.drawn += received;
+        balance = BalanceOf(IsLater(b_, a_, it) ? b : a, it);
+        balance.drawn += received;
       }
-      out.settled += part.contributed;
-      if (part.contributed != 0) out.contributed[it] = part.contributed;
-      if (part.drawn != 0) out.grants[it] = part.drawn;
+      out.settled += balance.contributed;
+      if (balance.contributed != 0) out.contributed[it] = balance.contributed;
+      if (balance.drawn != 0) out.grants[it] = balance.drawn;
     }
     return out;
   }
 
  private:
-  // Whether `x` shows a later part of a router than `y` does.
+  // Whether `x` shows a later balance of the router than `y` does.
   static bool IsLater(const PrepaidRecord& x, const PrepaidRecord& y,
                       const Incarnation& it) {
     if (!x.IsKnown(it) || !y.IsKnown(it)) return x.IsKnown(it);
     return ValueIn(x.writes, it) > ValueIn(y.writes, it);
   }
 
-  // It was charged what the record shows that has it as gone, unless the other
-  // has a later part.
-  Tokens TotalOfGone(const Incarnation& it, const PrepaidEntry& a,
-                     const PrepaidEntry& b) const {
-    const Tokens in_a = PartOf(a, it).total();
-    const Tokens in_b = PartOf(b, it).total();
+  // The total of a router that is gone: what it was charged in the record that
+  // shows it as gone, unless the other record shows a later balance.
+  Tokens GoneTotal(const Incarnation& it, const PrepaidEntry& a,
+                   const PrepaidEntry& b) const {
+    const Tokens in_a = BalanceOf(a, it).total();
+    const Tokens in_b = BalanceOf(b, it).total();
     if (!b_.IsGone(it) && !IsLater(b_, a_, it)) return in_a;
     if (!a_.IsGone(it) && !IsLater(a_, b_, it)) return in_b;
     return std::max(in_a, in_b);
@@ -114,7 +115,7 @@
 
 }  // namespace
 
-void MergeKnown(const PrepaidRecord& known, PrepaidRecord& record) {
+void MergeRecord(const PrepaidRecord& known, PrepaidRecord& record) {
   const Merge merge(record, known);
   PrepaidRecord out;
   out.era = record.era;
@@ -141,7 +142,7 @@
       out.customers[customer] = merge.Entry(customer);
     }
   }
-  out.Forget();
+  out.PruneGone();
   record = std::move(out);
 }
 
--- a/prepaid/record_merge.h
+++ b/prepaid/record_merge.h
@@ -1,22 +1,24 @@
-// Writes again what the store has lost of the prepaid record.
+// MergeRecord: restores what the store has lost of the prepaid record.
 //
-//   MergeKnown(confirmed.record, found);   // `found`: what the store has now
+//   MergeRecord(confirmed.record, stored);   // `stored`: read from the store
 //
-// A store that came back from an older copy of itself shows an earlier record
-// of the same history as the one that a router knows, or one that others have
-// restored and changed since. Of each member the part with the higher write
-// number is the later, as members change no part but their own:
+// A store that is restored from an older copy has an earlier version of the
+// record that a router knows, or one that other routers have restored and
+// changed since. The two records are merged by these rules:
 //
-//   - what a member has drawn, apart from transfers, and contributed;
-//   - transfers are running totals, and the higher is the later;
-//   - a member that either record shows as gone is gone. It has spent what it
-//     was charged, or all of a part that is later than that charge.
+//   - A member's balance is what it has drawn, apart from transfers, and what
+//     it has contributed. The one with the higher write number is the later, as
+//     members change only their own balances.
+//   - Transfers are running totals, so the higher one is the later.
+//   - A member that either record shows as gone is gone. It has spent what it
+//     was charged, or, if the other record shows a later balance, all of that.
 //
 // What neither record shows is lost. Every member therefore declares its own
-// part as it knows it (prepaid/prepaid_ledger.h).
+// state (prepaid/prepaid_ledger.h).
 //
-// Stateless. The sum of what is settled and granted may pass the limit when
-// others were granted what a member had lost; then idle grants go back.
+// Stateless. Units: tokens. What is settled and granted may add up to more than
+// the limit if the store granted to others what a member still held; then idle
+// grants are returned.
 
 #ifndef QUAYTRACK_PREPAID_RECORD_MERGE_H_
 #define QUAYTRACK_PREPAID_RECORD_MERGE_H_
@@ -25,9 +27,9 @@
 
 namespace quaytrack {
 
-// Merges what `known` shows into `record`, whose era and undeclared members
-// stay; members that only `known` shows are added to these.
-void MergeKnown(const PrepaidRecord& known, PrepaidRecord& record);
+// Merges `known` into `record`. The era and the undeclared members of `record`
+// stay; members that only `known` shows are added to the undeclared ones.
+void MergeRecord(const PrepaidRecord& known, PrepaidRecord& record);
 
 }  // namespace quaytrack
 
--- a/prepaid/store_view.cc
+++ b/prepaid/store_view.cc
@@ -5,7 +5,7 @@
 namespace quaytrack {
 namespace {
 
-// Of a running total, what the record doesn't show yet.
+// The amount of a running total that the record doesn't show yet.
 Tokens Unrecorded(const PrepaidEntry& entry, const TransferPair& pair,
                   Tokens total) {
   return std::max<Tokens>(0, total - RecordedIn(entry, pair));
@@ -13,16 +13,16 @@
 
 }  // namespace
 
-const OwnAccount& AccountOf(const OwnAccounts& accounts,
-                            const CustomerName& customer) {
-  static const OwnAccount kNothing;
+const LocalAccount& AccountOf(const LocalAccounts& accounts,
+                              const CustomerName& customer) {
+  static const LocalAccount kEmpty;
   const auto it = accounts.find(customer);
-  return it == accounts.end() ? kNothing : it->second;
+  return it == accounts.end() ? kEmpty : it->second;
 }
 
-PrepaidSpent SpentIn(const PrepaidSpend& spend, const CustomerName& customer) {
+CustomerSpend SpentIn(const SpendAccount& spend, const CustomerName& customer) {
   const auto it = spend.customers.find(customer);
-  return it == spend.customers.end() ? PrepaidSpent() : it->second;
+  return it == spend.customers.end() ? CustomerSpend() : it->second;
 }
 
 Tokens GrantIn(const PrepaidEntry& entry, const Incarnation& self) {
@@ -31,10 +31,10 @@
 }
 
 Tokens ContributedIn(const PrepaidRecord& record, const CustomerName& customer,
-                     const Incarnation& who) {
+                     const Incarnation& router) {
   const auto found = record.customers.find(customer);
   if (found == record.customers.end()) return 0;
-  const auto it = found->second.contributed.find(who);
+  const auto it = found->second.contributed.find(router);
   return it == found->second.contributed.end() ? 0 : it->second;
 }
 
@@ -44,13 +44,13 @@
 }
 
 Tokens IdleIn(const StoreView& view, const Incarnation& self,
-              const CustomerName& customer, const OwnAccount& account) {
+              const CustomerName& customer, const LocalAccount& account) {
   const auto found = view.record.customers.find(customer);
   if (found == view.record.customers.end()) return 0;
   const PrepaidEntry& entry = found->second;
   Tokens out = GrantIn(entry, self) - account.unreported -
                SpentIn(view.spend, customer).spent;
-  // What this view has taken over is no longer unreported in it.
+  // Both terms above include what this view reports: add it back once.
   const auto reported = view.reported.find(customer);
   if (reported != view.reported.end()) out += reported->second;
   for (const auto& [giver, total] : account.transferred_in) {
--- a/prepaid/store_view.h
+++ b/prepaid/store_view.h
@@ -1,19 +1,18 @@
-// What may be spent, as arithmetic on one state that the store may be in.
+// StoreView: one possible state of the store, and what may be spent in it.
 //
 //   const Tokens idle = IdleIn(view, self, customer, AccountOf(accounts, c));
-//   const Tokens spendable = idle - WithheldIn(view.spend, customer);
+//   const Tokens spendable = idle - SpentIn(view.spend, customer).withheld;
 //
-// A router knows the store's latest state only up to the writes that it has
-// sent and of which no answer has come: each of these may have replaced it. So
-// there are several views at once, and a token may be spent only if every view
-// says so (PrepaidLedger::Allowance).
+// Each write that a router has sent without getting an answer may have replaced
+// the store's latest known state. So there are several views at once, and a
+// token may be spent only if every view allows it (PrepaidLedger::Allowance).
 //
-// `OwnAccount` is what this process alone knows, whatever the store's state:
+// `LocalAccount` is what only this process knows, whatever the store's state:
 // holds, costs that are not in the store yet, and transfers from and to peers.
 //
-// Units: tokens. Amounts may be negative: a router that passed on more than its
-// grant, out of what it had received, has a negative grant until the record
-// shows both transfers.
+// Units: tokens. Amounts may be negative: a router that gave away received
+// tokens beyond its grant has a negative grant until the record shows both
+// transfers.
 
 #ifndef QUAYTRACK_PREPAID_STORE_VIEW_H_
 #define QUAYTRACK_PREPAID_STORE_VIEW_H_
@@ -31,73 +30,74 @@
 // A spend account in the store.
 struct StoredSpend {
   std::int64_t revision = 0;
-  PrepaidSpend spend;
-  // As of `StoredAt`.
+  SpendAccount spend;
+  // See `StoredAt`.
   std::int64_t key_era = 0;
 };
 
-// Where a record or an account stands. Each era has keys of its own, so that a
-// write that names those of an earlier era, and is done late, finds them gone.
-// The keys without an era (0) are those of before the first return.
+// Key and revision of a stored record or account. Each era has separate keys,
+// so that a delayed write for an earlier era finds its keys removed and fails.
+// Era 0 stands for the keys without an era, in use until the store is first
+// restored.
 struct StoredAt {
   std::int64_t key_era = 0;
-  // 0 if there is none.
+  // 0 if the key doesn't exist.
   std::int64_t revision = 0;
 };
 
-// A state that the store may be in: the record, and this router's account.
+// A possible state of the store: the record, and this router's account.
 struct StoreView {
-  // The store's.
+  // The store's era.
   std::int64_t era = 0;
-  StoredAt record_at;
+  StoredAt record_key;
   PrepaidRecord record;
-  StoredAt spend_at;
-  PrepaidSpend spend;
-  // Spending that this state includes and the confirmed one doesn't.
+  StoredAt spend_key;
+  SpendAccount spend;
+  // Spending that this state includes and the confirmed state doesn't.
   std::map<CustomerName, Tokens> reported;
 };
 
-// What this process knows of one customer beside the store.
-struct OwnAccount {
-  // Time over which the spending is measured. 02163af; not measured.
+// What only this process knows about one customer.
+struct LocalAccount {
+  // Time over which the spending rate is averaged.
   static constexpr Duration kSpendingTime = std::chrono::seconds(5);
 
   // Costs that the confirmed view doesn't include.
   Tokens unreported = 0;
-  // Worst cases of the requests that run.
+  // Worst-case costs of the running requests.
   Tokens held = 0;
-  // Worst cases of those that wait for a larger grant.
+  // Worst-case costs of the requests that wait for a larger grant.
   Tokens waiting = 0;
   DecayingRate spending{kSpendingTime};
-  // The same of all routers together, as the record shows it settled. Each
-  // router settles when it changes the record, every few seconds, so it is
-  // measured over a longer time.
+  // Time over which the rate of `settling` is averaged. It is longer because
+  // routers settle only when they change the record, every few seconds.
   static constexpr Duration kSettlingTime = std::chrono::seconds(10);
+  // Spending of all routers together, as the record shows it settled.
   DecayingRate settling{kSettlingTime};
   // Running totals of the transfers to and from each peer.
   std::map<Incarnation, Tokens> transferred_out;
   std::map<Incarnation, Tokens> transferred_in;
 };
 
-using OwnAccounts = std::map<CustomerName, OwnAccount>;
+using LocalAccounts = std::map<CustomerName, LocalAccount>;
 
 // An empty account if there is none.
-const OwnAccount& AccountOf(const OwnAccounts& accounts,
-                            const CustomerName& customer);
+const LocalAccount& AccountOf(const LocalAccounts& accounts,
+                              const CustomerName& customer);
 
-// Zeros if there are none.
-PrepaidSpent SpentIn(const PrepaidSpend& spend, const CustomerName& customer);
+// These return 0 for values that don't exist.
+CustomerSpend SpentIn(const SpendAccount& spend, const CustomerName& customer);
 Tokens GrantIn(const PrepaidEntry& entry, const Incarnation& self);
-// Of what is settled, the router's part.
+// The router's share of the settled tokens.
 Tokens ContributedIn(const PrepaidRecord& record, const CustomerName& customer,
-                     const Incarnation& who);
-// The running total of a transfer that the record shows.
+                     const Incarnation& router);
+// The running total of the pair's transfers that the record shows.
 Tokens RecordedIn(const PrepaidEntry& entry, const TransferPair& pair);
 
-// What `self` has of the customer's budget and neither spent, nor holds, nor
-// has passed on; withheld or not.
+// Tokens of the customer's budget that `self` has and that are neither spent,
+// nor held, nor transferred away; they may be withheld.
 Tokens IdleIn(const StoreView& view, const Incarnation& self,
-              const CustomerName& customer, const OwnAccount& account);
+              const CustomerName& customer, const LocalAccount& account);
 
 }  // namespace quaytrack
 
--- a/prepaid/testing/ledger_test.cc
+++ b/prepaid/testing/ledger_test.cc
@@ -1,5 +1,5 @@
-// Single decisions of the prepaid ledger. Random histories are in
-// prepaid_property_test.cc.
+// Tests single decisions of the prepaid ledger. property_test.cc tests random
+// histories.
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,7 +13,7 @@
 constexpr Tokens kLimit = 100000;
 const CustomerName kCustomer("clinic");
 
-// A store of one record and the routers' accounts.
+// A store with one record and the routers' accounts.
 struct Store {
   PrepaidRecord record;
   std::int64_t record_revision = 0;
@@ -24,7 +24,7 @@
     ledger.OnRead(now, {record_revision, record, spends});
   }
 
-  // Does what the ledger wants until it wants nothing.
+  // Does the ledger's reads and writes until it has none left.
   void Serve(Instant now, PrepaidLedger& ledger, const Incarnation& self) {
     for (int n = 0; n < 10; ++n) {
       if (ledger.NeedsRead(now)) Read(now, ledger);
@@ -60,7 +60,7 @@
     out.SetLimits(1, {{kCustomer, kLimit}});
     return out;
   }
-  // 500 tokens a second.
+  // Spends 500 tokens a second.
   void SpendTenSeconds(PrepaidLedger& ledger, const Incarnation& self) {
     for (int n = 0; n < 100; ++n) {
       now += milliseconds(100);
@@ -109,8 +109,7 @@
   SpendTenSeconds(ledger, self);
   now += std::chrono::seconds(30);
   store.Serve(now, ledger, self);
-  // Its part of the baseline share, and the slack under which none is given
-  // back.
+  // The baseline, and the margin of a half below which nothing is returned.
   const Tokens kept = ledger.Allowance(now + policy.withhold_time, kCustomer);
   BOOST_TEST(kept <= kLimit / 100 * 3 / 2);
 }
@@ -140,10 +139,11 @@
 
 BOOST_FIXTURE_TEST_CASE(WhatIsLockedOpensOnlyAfterTheLock, Fixture) {
   PrepaidLedger ledger = Join("vm1@1");
-  const Tokens open = ledger.Allowance(now, kCustomer);
+  const Tokens spendable = ledger.Allowance(now, kCustomer);
   const Tokens all = store.entry().grants.at(Incarnation("vm1@1"));
-  BOOST_TEST(open < all / 2);
-  BOOST_TEST(ledger.Allowance(now + milliseconds(1999), kCustomer) == open);
+  BOOST_TEST(spendable < all / 2);
+  BOOST_TEST(ledger.Allowance(now + milliseconds(1999), kCustomer) ==
+             spendable);
   BOOST_TEST(ledger.Allowance(now + milliseconds(2000), kCustomer) == all);
 }
 
@@ -154,7 +154,8 @@
   const auto write = ledger.NextWrite(now + milliseconds(20));
   BOOST_REQUIRE(write.has_value());
   ledger.OnWritten(now, PrepaidOutcome::kUnknown, 0);
-  // It would open more, and isn't counted until it is known to be done.
+  // The write takes a larger grant, so it doesn't count until it is known to be
+  // applied.
   BOOST_TEST(ledger.Allowance(now, kCustomer) == before);
   store.Apply(Incarnation("vm1@1"), *write);
   now += milliseconds(1000);
@@ -179,7 +180,8 @@
   BOOST_TEST(ledger.Allowance(later, kCustomer) == less);
 }
 
-// The account has not changed, so the write may still be done.
+// If a read shows the account unchanged, an unanswered write may still be
+// applied, so what it returns must stay unspendable.
 BOOST_FIXTURE_TEST_CASE(AReadOfTheSameAccountConfirmsNoWrite, Fixture) {
   const Incarnation self("vm1@1");
   PrepaidLedger ledger = Join(self.value);
@@ -195,8 +197,8 @@
   BOOST_TEST(ledger.Allowance(now + policy.withhold_time, kCustomer) == less);
 }
 
-// A write that certainly didn't happen leaves the withheld part as it was: it
-// is free 2 s after the write before.
+// A write that was certainly not applied must not extend the withholding: the
+// withheld tokens become spendable 2 s after the previous write.
 BOOST_FIXTURE_TEST_CASE(AWriteThatDidntHappenWithholdsNothing, Fixture) {
   const PrepaidOutcome outcomes[] = {PrepaidOutcome::kRejected,
                                      PrepaidOutcome::kRefused};
@@ -250,7 +252,8 @@
       (other.Hold(now, CustomerName("free"), 99500) == PrepaidVerdict::kHeld));
 }
 
-// What a router asks for is what it holds already and what is to come.
+// Held tokens count towards the budget: a request that fits only without them
+// is exhausted, not short.
 BOOST_FIXTURE_TEST_CASE(WhatIsHeldCountsAgainstTheBudget, Fixture) {
   PrepaidLedger ledger = Join("vm1@1");
   BOOST_TEST((ledger.Hold(now, kCustomer, 97000) == PrepaidVerdict::kShort));
@@ -278,7 +281,7 @@
   now += milliseconds(500);
   store.Serve(now, ledger, Incarnation("vm1@1"));
   BOOST_TEST(store.entry().limit == kLimit / 2);
-  // A router that has not heard of the newer configuration leaves it alone.
+  // A router with an older configuration leaves the newer limit unchanged.
   Join("vm2@1");
   BOOST_TEST(store.record.members.size() == 2U);
   BOOST_TEST(store.entry().limit == kLimit / 2);
@@ -293,8 +296,8 @@
   BOOST_TEST(store.entry().limit == kLimit + 500);
 }
 
-// 55,000 are granted, of which 40,000 are held; the rest is no surplus by its
-// size, but the budget doesn't hold it any more.
+// 55,000 tokens are granted, of which 40,000 are held. The idle rest isn't
+// above the high-water mark, but it exceeds the lowered limit.
 BOOST_FIXTURE_TEST_CASE(ALoweredLimitTakesBackWhatIsIdle, Fixture) {
   PrepaidLedger ledger = Join("vm1@1");
   now += policy.withhold_time;
@@ -307,17 +310,18 @@
 
 BOOST_FIXTURE_TEST_CASE(ASuccessorTakesBackWhatWasLocked, Fixture) {
   Join("vm1@1");
-  const Tokens locked = store.spends.at(Incarnation("vm1@1"))
-                            .spend.customers.at(kCustomer)
-                            .withheld;
+  const Tokens withheld = store.spends.at(Incarnation("vm1@1"))
+                              .spend.customers.at(kCustomer)
+                              .withheld;
   const Tokens granted = store.entry().grants.at(Incarnation("vm1@1"));
   now += milliseconds(1500);
   Join("vm1@2");
-  BOOST_TEST(store.entry().settled == granted - locked);
+  BOOST_TEST(store.entry().settled == granted - withheld);
   BOOST_TEST(!store.spends.contains(Incarnation("vm1@1")));
 }
 
-// Nobody else can: the others don't know that the first is dead.
+// A successor charges its predecessor even if it isn't a holder, since no other
+// router knows that the predecessor is dead.
 BOOST_FIXTURE_TEST_CASE(ASuccessorThatIsNoHolderChargesToo, Fixture) {
   Join("vm1@1");
   const Incarnation self("vm1@2");
@@ -440,7 +444,7 @@
   store.record.RecordTransfer(kCustomer,
                               {Incarnation("vm1@1"), Incarnation("vm9@1")}, 77);
   BOOST_TEST((DecodePrepaid(EncodePrepaid(store.record)) == store.record));
-  const PrepaidSpend& spend = store.spends.at(Incarnation("vm1@1")).spend;
+  const SpendAccount& spend = store.spends.at(Incarnation("vm1@1")).spend;
   BOOST_TEST((DecodeSpend(EncodeSpend(spend)) == spend));
   for (const char* bytes : {"", "x", "\xa1\x61\x78\x01"}) {
     BOOST_TEST(!DecodePrepaid(bytes).has_value());
--- a/prepaid/testing/power_loss_test.cc
+++ b/prepaid/testing/power_loss_test.cc
@@ -1,5 +1,5 @@
-// What is left of a budget after all routers have lost power at once: then all
-// that they kept granted is charged, since no clock proves anything unspent.
+// Tests what is left of a budget after all routers lose power at once. All of
+// their grants are then charged, since no clock proves any tokens unspent.
 
 #include <boost/test/unit_test.hpp>
 #include <map>
@@ -16,20 +16,20 @@
 constexpr Tokens kLimit = 2600000;
 constexpr Tokens kRequest = 5000;
 constexpr int kRouters = 8;
-// One request of `kRequest` in each makes 50,000 tokens a second.
+// One request of `kRequest` per step makes 50,000 tokens a second.
 constexpr Duration kStep = milliseconds(100);
 const CustomerName kCustomer("clinic");
 
 // Routers of which the first serves all of the customer's requests, and the
-// store that they share. All read the store before each of their writes.
+// store that they share. Each router reads the store before each write.
 class Fleet {
  public:
   Fleet() { StartAll(); }
 
-  // Until the first router has spent `most`, or is refused.
-  void SpendUpTo(Tokens most) {
+  // Spends until the first router has spent `max_spent`, or is refused.
+  void SpendUpTo(Tokens max_spent) {
     PrepaidLedger& home = ledgers_.front();
-    while (spent_ + kRequest <= most) {
+    while (spent_ + kRequest <= max_spent) {
       now_ += kStep;
       if (home.Hold(now_, kCustomer, kRequest) != PrepaidVerdict::kHeld) return;
       home.Settle(now_, kCustomer, kRequest, kRequest);
@@ -38,7 +38,8 @@
     }
   }
 
-  // Other boots: their clocks say nothing about the time before.
+  // Restarts all routers under a new boot, whose clock proves nothing about the
+  // time before.
   void LosePower() {
     now_ += milliseconds(600);
     StartAll();
@@ -46,11 +47,11 @@
 
   Tokens spent() const { return spent_; }
   Tokens Uncharged() { return kLimit - entry().settled; }
-  // What the routers that serve nothing keep.
-  Tokens KeptWithoutUse() {
+  // Grants of the routers that serve no requests.
+  Tokens GrantedWithoutUse() {
     Tokens out = 0;
-    for (const auto& [who, amount] : entry().grants) {
-      if (who != names_.front()) out += amount;
+    for (const auto& [router, amount] : entry().grants) {
+      if (router != names_.front()) out += amount;
     }
     return out;
   }
@@ -91,8 +92,8 @@
     PrepaidState out;
     out.revision = record_revision_;
     out.record = record_;
-    for (const auto& [who, stored] : spends_) {
-      if (VmOf(who) == VmOf(self)) out.spends[who] = stored;
+    for (const auto& [router, stored] : spends_) {
+      if (VmOf(router) == VmOf(self)) out.spends[router] = stored;
     }
     return out;
   }
@@ -117,10 +118,10 @@
   Tokens spent_ = 0;
 };
 
-// All eight routers lost power at once when a customer, of which one router
-// served nearly all, had used 0.7 of its budget. They kept 0.68 of the rest
-// granted, two fifths of that where nothing was spent, and it was charged. The
-// customer's next requests were refused for good.
+// Guards against a power loss that uses up a budget. When a customer of one
+// router had spent 0.7 of its budget, the eight routers kept 0.68 of the rest
+// granted, two fifths of that at routers that spent nothing. All of it was
+// charged, and the customer's further requests were refused for good.
 BOOST_FIXTURE_TEST_CASE(APowerLossLeavesMostOfAShortBudget, Fleet) {
   SpendUpTo(kLimit * 7 / 10);
   BOOST_TEST(spent() == kLimit * 7 / 10);
@@ -130,35 +131,35 @@
   BOOST_TEST(Uncharged() >= rest * 6 / 10);
 }
 
-// With nearly all of a budget left, the routers that serve nothing are ready to
-// pass on an outage's worth.
+// With nearly all of a budget left, the routers that serve no requests keep
+// enough to transfer during an outage.
 BOOST_FIXTURE_TEST_CASE(AFreshBudgetIsSpreadOverAllRouters, Fleet) {
   SpendUpTo(kLimit / 20);
   BOOST_TEST(spent() == kLimit / 20);
-  BOOST_TEST(KeptWithoutUse() >= kLimit / 5);
+  BOOST_TEST(GrantedWithoutUse() >= kLimit / 5);
 }
 
-// The rest lasts 31 s then, and 15 s in the test of a short budget.
+// The remaining tokens last 31 s here, and 15 s in the test of a short budget.
 BOOST_FIXTURE_TEST_CASE(ABudgetIsKeptInFullWhileItLasts, Fleet) {
   SpendUpTo(kLimit * 4 / 10);
   const Tokens rest = kLimit - spent();
-  BOOST_TEST(KeptWithoutUse() >= rest * 25 / 100);
+  BOOST_TEST(GrantedWithoutUse() >= rest * 25 / 100);
 }
 
 BOOST_FIXTURE_TEST_CASE(AShortBudgetIsKeptLessWhereItIsNotSpent, Fleet) {
   SpendUpTo(kLimit * 7 / 10);
   const Tokens rest = kLimit - spent();
-  BOOST_TEST(KeptWithoutUse() <= rest * 20 / 100);
-  BOOST_TEST(KeptWithoutUse() > 0);
+  BOOST_TEST(GrantedWithoutUse() <= rest * 20 / 100);
+  BOOST_TEST(GrantedWithoutUse() > 0);
 }
 
-// What was charged when all lost power is no rate of spending, so the routers
-// are ready for an outage again at once.
+// Guards against a charge that counts as spending: after a power loss, the
+// routers would then take the budget for short and keep smaller grants.
 BOOST_FIXTURE_TEST_CASE(AChargeDoesNotMakeABudgetLookShort, Fleet) {
   SpendUpTo(kLimit / 20);
   LosePower();
   const Tokens rest = Uncharged();
-  BOOST_TEST(KeptWithoutUse() >= rest * 25 / 100);
+  BOOST_TEST(GrantedWithoutUse() >= rest * 25 / 100);
 }
 
 }  // namespace
--- a/prepaid/testing/property_test.cc
+++ b/prepaid/testing/property_test.cc
@@ -1,8 +1,9 @@
-// Random histories of routers that share one prepaid budget: kills, restarts of
-// the same boot or another, frozen routers, cuts, writes whose answers are lost
-// or that are done late, transfers that are lost, doubled and reordered, and a
-// store that comes back from an older copy of itself. A book of what the
-// engines handed out is kept beside; it must never pass the limit.
+// Tests random histories of routers that share one prepaid budget: kills,
+// restarts in the same boot or another, frozen routers, routers cut off from
+// the store, writes that are unanswered or delayed, transfers that are lost,
+// duplicated and reordered, and a store that is restored from an older copy.
+// The tokens that the engines hand out are counted separately; their sum must
+// never pass the limit.
 
 #include <rapidcheck.h>
 
@@ -25,8 +26,8 @@
 constexpr int kVms = 4;
 constexpr int kSteps = 2500;
 constexpr int kStepsPerKill = 80;
-constexpr int kStepsPerReturn = 60;
-// Routers that don't die while any has yet to declare its part.
+constexpr int kStepsPerRestore = 60;
+// Number of routers that don't die while any router has yet to declare itself.
 constexpr int kStaying = 2;
 constexpr Duration kOldestCopy = std::chrono::seconds(5);
 const CustomerName kCustomer("clinic");
@@ -54,21 +55,22 @@
   bool cut = false;
 };
 
-// What is done wrong on purpose, to see that the book notices.
+// A fault made on purpose, to see that the count of tokens detects it.
 enum class Fault { kNone, kSpendsWithheld, kReclaimsByTime };
 
-// Whether the store comes back from older copies of itself, now and then.
-enum class Store { kLosesNothing, kComesBackOlder };
+// Whether the store is restored from older copies now and then.
+enum class Store { kLosesNothing, kRestoresOlderCopies };
 
-class World {
+class Simulation {
  public:
-  World(std::uint32_t seed, Fault fault, Store store = Store::kLosesNothing)
+  Simulation(std::uint32_t seed, Fault fault,
+             Store store = Store::kLosesNothing)
       : random_(seed), fault_(fault), store_(store) {
     routers_.resize(kVms);
     for (int vm = 0; vm < kVms; ++vm) Boot(vm);
   }
 
-  // Whether the book kept to the limit all along.
+  // Whether the tokens handed out stayed within the limit in the whole run.
   bool Run() {
     for (int n = 0; n < kSteps; ++n) {
       now_ += milliseconds(Draw(0, 300));
@@ -77,7 +79,7 @@
       KeepCopy();
       if (handed_out_ > kLimit) return false;
       if (fault_ != Fault::kNone || store_ != Store::kLosesNothing) continue;
-      const PrepaidRecord record = Latest().record;
+      const PrepaidRecord record = LatestStored().record;
       const auto entry = record.customers.find(kCustomer);
       if (entry == record.customers.end()) continue;
       RC_ASSERT(entry->second.Free() >= 0);
@@ -85,12 +87,12 @@
     return true;
   }
 
-  // Without faults from here on, every token that was not handed out, charged
-  // or held can be spent.
+  // Runs on without faults, and checks that everything handed out is charged
+  // and that the record keeps to the limit.
   void Settle() {
     for (Router& it : routers_) {
       it.cut = false;
-      while (!it.running.empty()) Finish(it, it.running.size() - 1);
+      while (!it.running.empty()) FinishRequest(it, it.running.size() - 1);
     }
     transfers_.clear();
     late_.clear();
@@ -98,10 +100,10 @@
       now_ += milliseconds(100);
       for (Router& it : routers_) RunCycle(it, true);
     }
-    const PrepaidRecord record = Latest().record;
+    const PrepaidRecord record = LatestStored().record;
     const PrepaidEntry& entry = record.customers.at(kCustomer);
     Tokens charged = entry.settled;
-    for (const auto& [who, stored] : at_.spends) {
+    for (const auto& [router, stored] : contents_.spends) {
       const auto it = stored.spend.customers.find(kCustomer);
       if (it != stored.spend.customers.end()) charged += it->second.spent;
     }
@@ -113,7 +115,7 @@
   int Draw(int low, int high) {
     return std::uniform_int_distribution<int>(low, high)(random_);
   }
-  Router& Any() {
+  Router& AnyRouter() {
     return routers_[static_cast<std::size_t>(Draw(0, kVms - 1))];
   }
 
@@ -134,11 +136,11 @@
     std::int64_t revision = 0;
     PrepaidRecord record;
   };
-  // What a store has, by the eras of the keys.
+  // What a store has, by the keys' eras.
   struct Contents {
     std::map<std::int64_t, StoredRecord> records;
     std::map<std::pair<Incarnation, std::int64_t>, StoredSpend> spends;
-    // Of its latest change.
+    // Of the latest change.
     std::int64_t revision = 0;
   };
   struct Copy {
@@ -147,70 +149,72 @@
   };
 
   std::int64_t LatestKey() const {
-    return at_.records.empty() ? 0 : at_.records.rbegin()->first;
+    return contents_.records.empty() ? 0 : contents_.records.rbegin()->first;
   }
-  StoredRecord Latest() const {
-    return at_.records.empty() ? StoredRecord() : at_.records.rbegin()->second;
+  StoredRecord LatestStored() const {
+    return contents_.records.empty() ? StoredRecord()
+                                     : contents_.records.rbegin()->second;
   }
 
   void KeepCopy() {
     if (store_ == Store::kLosesNothing) return;
-    copies_.push_back({now_, at_});
+    copies_.push_back({now_, contents_});
     std::erase_if(copies_, [this](const Copy& it) {
       return it.taken < now_ - kOldestCopy;
     });
-    if (Draw(0, kStepsPerReturn) == 0) ComeBackOlder();
+    if (Draw(0, kStepsPerRestore) == 0) RestoreOlderCopy();
   }
 
-  // Not while a router knows nothing of the budget yet: what one that died has
-  // spent since the copy is then known to nobody.
-  void ComeBackOlder() {
+  // Has no effect while a router has not read the record yet: no router would
+  // then know what its dead predecessor has spent since the copy was taken.
+  void RestoreOlderCopy() {
     for (const Router& it : routers_) {
       if (it.ledger->LatestRecord() == nullptr) return;
     }
     const Copy& copy = copies_[static_cast<std::size_t>(
         Draw(0, static_cast<int>(copies_.size()) - 1))];
-    at_ = copy.contents;
-    at_.revision += Draw(0, 1) == 0 ? 0 : Draw(0, 20);
+    contents_ = copy.contents;
+    contents_.revision += Draw(0, 1) == 0 ? 0 : Draw(0, 20);
     ++era_;
     copies_.clear();
     KeepCopy();
   }
 
   void Step() {
-    SeeAPeer();
-    // Rare enough that budgets are used up by requests and not by charges.
+    ReportRandomPeer();
+    // Rare enough that requests use up the budget, not charges.
     if (Draw(0, kStepsPerKill) == 0) return Kill();
     switch (Draw(1, 11)) {
       case 1:
-        Any().cut = !Any().cut;
+        AnyRouter().cut = !AnyRouter().cut;
         return;
       case 2:
       case 3:
-        return Ask();
+        return RequestTransfer();
       case 4:
         return DeliverTransfer();
       case 5:
       case 6:
-        return FinishAny();
+        return FinishAnyRequest();
       case 7:
       case 8:
-        return RunCycle(Any(), false);
+        return RunCycle(AnyRouter(), false);
       default:
-        return Start();
+        return StartRequest();
     }
   }
 
-  // Links between routers stay up; a sign of life says who keeps grants.
-  void SeeAPeer() {
-    Router& from = Any();
-    Router& to = Any();
+  // Links between routers stay up, and heartbeats report which routers have
+  // grants.
+  void ReportRandomPeer() {
+    Router& from = AnyRouter();
+    Router& to = AnyRouter();
     if (from.self != to.self) to.ledger->OnPeerSeen(from.self);
   }
 
-  void Start() { StartAt(Any()); }
+  void StartRequest() { StartRequestAt(AnyRouter()); }
 
-  void StartAt(Router& it) {
+  void StartRequestAt(Router& it) {
     const Tokens amount = Draw(50, 1500);
     const auto verdict = it.ledger->Hold(now_, kCustomer, amount);
     if (verdict == PrepaidVerdict::kHeld) it.running.push_back({amount});
@@ -219,14 +223,14 @@
     }
   }
 
-  void FinishAny() {
-    Router& it = Any();
+  void FinishAnyRequest() {
+    Router& it = AnyRouter();
     if (it.running.empty()) return;
-    Finish(it, static_cast<std::size_t>(
-                   Draw(0, static_cast<int>(it.running.size()) - 1)));
+    FinishRequest(it, static_cast<std::size_t>(
+                          Draw(0, static_cast<int>(it.running.size()) - 1)));
   }
 
-  void Finish(Router& it, std::size_t at) {
+  void FinishRequest(Router& it, std::size_t at) {
     const Tokens held = it.running[at].held;
     const Tokens cost =
         Draw(static_cast<int>(held / 2), static_cast<int>(held));
@@ -235,8 +239,9 @@
     it.running.erase(it.running.begin() + static_cast<std::ptrdiff_t>(at));
   }
 
-  // Whether what a router has is known to one that stays until all have
-  // declared their parts. If not, nobody knows what it had when it dies.
+  // Whether the router's latest write is known to a router that stays alive
+  // until all have declared themselves. If not, what it had is lost when it
+  // dies.
   bool IsKnownElsewhere(int vm) const {
     if (vm >= kVms - kStaying) return false;
     const Router& dying = routers_[static_cast<std::size_t>(vm)];
@@ -247,7 +252,8 @@
     }
     return false;
   }
-  // Of the member's latest write that a router knows; 0 if it knows none.
+  // Number of the member's latest write that a router knows; 0 if it knows
+  // none.
   static std::uint64_t WriteNumber(const Router& router,
                                    const Incarnation& member) {
     const PrepaidRecord* record = router.ledger->LatestRecord();
@@ -263,17 +269,18 @@
         });
   }
 
-  // A busy router dies soon after a write; what ran has been handed out.
+  // Kills a busy router soon after a write. Its running requests have been
+  // handed out.
   void Kill() {
     const int vm = Draw(0, kVms - 1);
     if (!AllHaveDeclared() && !IsKnownElsewhere(vm)) return;
     Router& it = routers_[static_cast<std::size_t>(vm)];
     RunCycle(it, false);
-    for (int n = Draw(0, 8); n > 0; --n) StartAt(it);
+    for (int n = Draw(0, 8); n > 0; --n) StartRequestAt(it);
     for (const Request& request : it.running) {
       handed_out_ += request.held;
     }
-    // As if the withheld part were free to be spent.
+    // The fault: the withheld tokens are spent too.
     const bool wrong = fault_ == Fault::kSpendsWithheld;
     const Instant later = now_ + std::chrono::hours(1);
     if (wrong) handed_out_ += it.ledger->Allowance(later, kCustomer);
@@ -281,9 +288,9 @@
     Boot(vm);
   }
 
-  void Ask() {
-    Router& giver = Any();
-    Router& asker = Any();
+  void RequestTransfer() {
+    Router& giver = AnyRouter();
+    Router& asker = AnyRouter();
     if (giver.self == asker.self) return;
     const auto total = giver.ledger->TransferOut(
         now_, kCustomer, asker.self, Draw(100, 4000), Draw(0, 1) == 0);
@@ -300,28 +307,28 @@
     const Transfer transfer = transfers_[at];
     transfers_.erase(transfers_.begin() + static_cast<std::ptrdiff_t>(at));
     for (Router& it : routers_) {
-      // A message goes to an address; a later incarnation takes no notice.
+      // A later incarnation ignores messages to an earlier one.
       if (it.self != transfer.receiver) continue;
       it.ledger->OnTransfer(kCustomer, transfer.giver, transfer.total);
     }
   }
 
-  void RunCycle(Router& it, bool calm) {
+  void RunCycle(Router& it, bool without_faults) {
     if (it.ledger->Fenced()) return;
     if (it.ledger->NeedsRead(now_)) {
       if (it.cut) return it.ledger->OnReadFailed(now_);
-      return Read(it, calm);
+      return Read(it, without_faults);
     }
     if (fault_ == Fault::kReclaimsByTime && Draw(0, 10) == 0) ReclaimFrom(it);
     const auto write = it.ledger->NextWrite(now_);
     if (!write) return;
-    const int luck = calm ? 9 : Draw(0, 9);
-    if (luck == 0) {
+    const int outcome_draw = without_faults ? 9 : Draw(0, 9);
+    if (outcome_draw == 0) {
       return it.ledger->OnWritten(now_, PrepaidOutcome::kRefused, 0);
     }
-    if (it.cut || luck == 1) {
-      // Unanswered: not done, done at once, or done later.
-      if (luck < 5) {
+    if (it.cut || outcome_draw == 1) {
+      // Unanswered: applied at once, later, or never.
+      if (outcome_draw < 5) {
         const Instant due = now_ + milliseconds(Draw(0, 6000));
         late_.push_back({it.self, *write, due});
       }
@@ -329,45 +336,46 @@
     }
     const bool same_spend = IsAt(it.self, write->expected_spend);
     const bool applied = Apply(it.self, *write);
-    // Its answer names the era.
+    // The store's answer reports the era.
     const bool same_era = write->era == era_;
     const PrepaidOutcome done =
         same_era ? PrepaidOutcome::kApplied : PrepaidOutcome::kUnknown;
     it.ledger->OnStoreEra(era_);
     it.ledger->OnWritten(now_, applied ? done : PrepaidOutcome::kRejected,
-                         at_.revision);
+                         contents_.revision);
     const bool shown =
         write->changes_record && write->removes.empty() && !write->declares;
-    const auto record = at_.records.find(write->expected_record.key_era);
+    const auto record = contents_.records.find(write->expected_record.key_era);
     if (!applied && same_era && same_spend && shown &&
-        record != at_.records.end()) {
+        record != contents_.records.end()) {
       it.ledger->OnNewerRecord(now_, record->second.revision,
                                record->second.record);
     }
   }
 
-  // Not a snapshot: the record is read after the accounts, and writes may be
-  // done between.
-  void Read(Router& it, bool calm) {
+  // The reads are no snapshot: the record is read after the accounts, and
+  // writes may be applied in between.
+  void Read(Router& it, bool without_faults) {
     PrepaidState state;
-    for (const auto& [key, stored] : at_.spends) {
-      const auto& [who, key_era] = key;
-      if (VmOf(who) != VmOf(it.self)) continue;
-      state.spends[who] = stored;
-      state.spends[who].key_era = key_era;
+    for (const auto& [key, stored] : contents_.spends) {
+      const auto& [router, key_era] = key;
+      if (VmOf(router) != VmOf(it.self)) continue;
+      state.spends[router] = stored;
+      state.spends[router].key_era = key_era;
     }
-    if (!calm) {
+    if (!without_faults) {
       now_ += milliseconds(Draw(0, 400));
       ApplyLateWrites();
     }
     state.era = era_;
     state.key_era = LatestKey();
-    state.revision = Latest().revision;
-    state.record = Latest().record;
+    state.revision = LatestStored().revision;
+    state.record = LatestStored().record;
     it.ledger->OnRead(now_, state);
   }
 
-  bool Holds(const Incarnation& self, const PrepaidWrite& write) const {
+  bool PreconditionsHold(const Incarnation& self,
+                         const PrepaidWrite& write) const {
     if (!IsAt(self, write.expected_spend)) return false;
     if (!write.changes_record) return true;
     for (const auto& [dead, expected] : write.removes) {
@@ -379,29 +387,33 @@
     return RecordIsAt(write.expected_record) &&
            (!record || RecordIsAt(*record));
   }
-  bool IsAt(const Incarnation& who, const StoredAt& at) const {
-    const auto it = at_.spends.find({who, at.key_era});
-    return (it == at_.spends.end() ? 0 : it->second.revision) == at.revision;
+  bool IsAt(const Incarnation& router, const StoredAt& at) const {
+    const auto it = contents_.spends.find({router, at.key_era});
+    return (it == contents_.spends.end() ? 0 : it->second.revision) ==
+           at.revision;
   }
   bool RecordIsAt(const StoredAt& at) const {
-    const auto it = at_.records.find(at.key_era);
-    return (it == at_.records.end() ? 0 : it->second.revision) == at.revision;
+    const auto it = contents_.records.find(at.key_era);
+    return (it == contents_.records.end() ? 0 : it->second.revision) ==
+           at.revision;
   }
 
   bool Apply(const Incarnation& self, const PrepaidWrite& write) {
-    if (!Holds(self, write)) return false;
-    ++at_.revision;
-    at_.spends[{self, write.expected_spend.key_era}] = {at_.revision,
-                                                        write.spend};
+    if (!PreconditionsHold(self, write)) return false;
+    ++contents_.revision;
+    contents_.spends[{self, write.expected_spend.key_era}] = {
+        contents_.revision, write.spend};
     if (!write.changes_record) return true;
-    at_.records[write.expected_record.key_era] = {at_.revision, write.record};
+    contents_.records[write.expected_record.key_era] = {contents_.revision,
+                                                        write.record};
     for (const auto& [dead, it] : write.removes) {
-      at_.spends.erase({dead, it.key_era});
+      contents_.spends.erase({dead, it.key_era});
     }
     if (write.earlier_spend) {
-      at_.spends.erase({self, write.earlier_spend->key_era});
+      contents_.spends.erase({self, write.earlier_spend->key_era});
     }
-    if (write.earlier_record) at_.records.erase(write.earlier_record->key_era);
+    if (write.earlier_record)
+      contents_.records.erase(write.earlier_record->key_era);
     return true;
   }
 
@@ -412,15 +424,16 @@
     std::erase_if(late_, [&](const LateWrite& it) { return it.due <= now_; });
   }
 
-  // Takes a member's grants because it has been silent, which it may survive.
+  // The fault: takes the grants of a member that has been silent but may still
+  // be alive.
   void ReclaimFrom(const Router& self) {
-    for (const auto& [key, stored] : at_.spends) {
+    for (const auto& [key, stored] : contents_.spends) {
       const Incarnation& name = key.first;
       const auto stamp = Instant(milliseconds(stored.spend.stamp_ms));
       if (name == self.self || now_ - stamp < milliseconds(2000)) continue;
-      StoredRecord& record = at_.records[LatestKey()];
+      StoredRecord& record = contents_.records[LatestKey()];
       record.record.customers[kCustomer].grants[name] = 0;
-      record.revision = ++at_.revision;
+      record.revision = ++contents_.revision;
       return;
     }
   }
@@ -434,32 +447,32 @@
   std::vector<Router> routers_;
   std::vector<Transfer> transfers_;
   std::vector<LateWrite> late_;
-  Contents at_;
+  Contents contents_;
   int incarnations_ = 0;
   Tokens handed_out_ = 0;
 };
 
 BOOST_AUTO_TEST_CASE(NoHistoryPassesTheLimit) {
-  BOOST_TEST(rc::check("book <= limit", [](std::uint32_t seed) {
-    World world(seed, Fault::kNone);
-    RC_ASSERT(world.Run());
-    world.Settle();
+  BOOST_TEST(rc::check("handed out <= limit", [](std::uint32_t seed) {
+    Simulation simulation(seed, Fault::kNone);
+    RC_ASSERT(simulation.Run());
+    simulation.Settle();
   }));
 }
 
-// How many of 200 histories pass the limit under a fault.
+// How many of 200 histories pass the limit.
 int Overspent(Fault fault, Store store = Store::kLosesNothing) {
   int out = 0;
   for (std::uint32_t seed = 0; seed < 200; ++seed) {
-    if (!World(seed, fault, store).Run()) ++out;
+    if (!Simulation(seed, fault, store).Run()) ++out;
   }
   return out;
 }
 
-// Guards against tokens being granted again that the copy doesn't show as
-// granted or spent.
+// Guards against tokens that are granted twice after the store is restored from
+// a copy that doesn't show them as granted or spent.
 BOOST_AUTO_TEST_CASE(NoStoreThatComesBackOlderPassesTheLimit) {
-  BOOST_TEST(Overspent(Fault::kNone, Store::kComesBackOlder) == 0);
+  BOOST_TEST(Overspent(Fault::kNone, Store::kRestoresOlderCopies) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(TheBookNoticesALockThatIsNotKept) {
--- a/prepaid/testing/record_merge_test.cc
+++ b/prepaid/testing/record_merge_test.cc
@@ -1,4 +1,5 @@
-// What is written again into a record that the store has lost a part of.
+// Tests how a record that lost its latest changes is merged with a router's
+// later copy.
 
 #include "prepaid/record_merge.h"
 
@@ -11,7 +12,8 @@
 const Incarnation kOne("vm1@1");
 const Incarnation kTwo("vm2@1");
 
-// Two members, of which the first has spent 100 of 400 that it drew.
+// The restored copy: two members, of which the first has spent 100 of the 400
+// tokens that it drew.
 PrepaidRecord Copy() {
   PrepaidRecord out;
   out.era = 3;
@@ -25,8 +27,8 @@
   return out;
 }
 
-// The same after a later write of the first: it has spent 300 more, and drawn
-// as much.
+// The same after a later write of the first member, which has spent 300 tokens
+// more and drawn 300 more.
 PrepaidRecord Later() {
   PrepaidRecord out = Copy();
   out.writes[kOne] = 5;
@@ -37,11 +39,11 @@
 }
 
 PrepaidEntry Merged(const PrepaidRecord& known, PrepaidRecord record) {
-  MergeKnown(known, record);
+  MergeRecord(known, record);
   return record.customers.at(kCustomer);
 }
 
-// Guards against spending that is lost with the store's latest changes.
+// Guards against losing the spending that only the later record shows.
 BOOST_AUTO_TEST_CASE(TheLaterPartOfAMemberIsWrittenAgain) {
   for (const PrepaidEntry& it :
        {Merged(Later(), Copy()), Merged(Copy(), Later())}) {
@@ -53,33 +55,34 @@
 
 BOOST_AUTO_TEST_CASE(MergingWhatIsKnownAlreadyChangesNothing) {
   PrepaidRecord record = Later();
-  MergeKnown(Later(), record);
+  MergeRecord(Later(), record);
   BOOST_TEST((record == Later()));
 }
 
-// Guards against a dead member that the copy brings back to life.
+// Guards against a dead member that is restored from the copy, as the copy was
+// taken before it was charged.
 BOOST_AUTO_TEST_CASE(AMemberThatWasChargedStaysGone) {
   PrepaidRecord known = Later();
   known.ChargeAndRemove(kOne, nullptr);
   PrepaidRecord record = Copy();
-  MergeKnown(known, record);
+  MergeRecord(known, record);
   BOOST_TEST(!record.HasMember(kOne));
   BOOST_TEST(record.customers.at(kCustomer).settled == 750);
   BOOST_TEST(!record.customers.at(kCustomer).grants.contains(kOne));
 }
 
-// Guards against a grant of a dead member that was charged by the copy alone,
-// though somebody had seen it grow.
+// Guards against charging a dead member only what the copy shows, although
+// another router knows its later, larger balance.
 BOOST_AUTO_TEST_CASE(WhatADeadMemberHadSinceTheCopyIsCharged) {
   PrepaidRecord record = Copy();
   record.ChargeAndRemove(kOne, nullptr);
   BOOST_TEST(record.customers.at(kCustomer).settled == 450);
-  MergeKnown(Later(), record);
+  MergeRecord(Later(), record);
   BOOST_TEST(!record.HasMember(kOne));
   BOOST_TEST(record.customers.at(kCustomer).settled == 750);
 }
 
-// Guards against a member that joined since the copy, and is left out.
+// Guards against omitting a member that joined after the copy was taken.
 BOOST_AUTO_TEST_CASE(AMemberThatJoinedSinceTheCopyIsAwaited) {
   const Incarnation three("vm3@1");
   PrepaidRecord known = Later();
@@ -87,12 +90,13 @@
   known.writes[three] = 1;
   known.customers[kCustomer].grants[three] = 70;
   PrepaidRecord record = Copy();
-  MergeKnown(known, record);
+  MergeRecord(known, record);
   BOOST_TEST(record.undeclared.contains(three));
   BOOST_TEST(record.customers.at(kCustomer).grants.at(three) == 70);
 }
 
-// Guards against transfers that are counted at one side alone.
+// Guards against counting a transfer at only one of its two sides when the copy
+// lacks it.
 BOOST_AUTO_TEST_CASE(ATransferThatTheCopyLacksCountsAtBothSides) {
   PrepaidRecord known = Later();
   known.RecordTransfer(kCustomer, {kOne, kTwo}, 120);
--- a/prepaid/testing/record_test.cc
+++ b/prepaid/testing/record_test.cc
@@ -1,5 +1,5 @@
-// The prepaid record by itself: its stored form, which routers of other builds
-// read and write beside this one, and its arithmetic.
+// Tests the prepaid record: its stored form, which routers of other builds also
+// read and write, and its arithmetic.
 
 #include <boost/test/unit_test.hpp>
 #include <nlohmann/json.hpp>
@@ -27,7 +27,7 @@
   return out;
 }
 
-// Names once, and numbers in their place.
+// The stored form lists each name once and refers to it by number.
 BOOST_AUTO_TEST_CASE(TheRecordKeepsItsStoredForm) {
   const Json expected = Json::parse(R"({
       "customers": {"clinic":
@@ -39,7 +39,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(TheSpendAccountKeepsItsStoredForm) {
-  PrepaidSpend spend;
+  SpendAccount spend;
   spend.sequence = 3;
   spend.stamp_ms = 123456;
   spend.boot = "b";
@@ -51,7 +51,7 @@
   BOOST_TEST((DecodeSpend(EncodeSpend(spend)) == spend));
 }
 
-// A total that was known before, or is older, changes nothing.
+// A total that is recorded already, or is lower, changes nothing.
 BOOST_AUTO_TEST_CASE(AMoveCountsOnceInTheRecord) {
   PrepaidRecord record = Record();
   record.RecordTransfer(kCustomer, {kOne, kTwo}, 50);
@@ -62,7 +62,7 @@
   BOOST_TEST(record.customers[kCustomer].grants[kTwo] == 180);
 }
 
-// What the dead one had passed on wasn't spent by it.
+// Tokens that the dead member had given away weren't spent by it.
 BOOST_AUTO_TEST_CASE(AMoveBookedAfterADeathCorrectsTheCharge) {
   PrepaidRecord record = Record();
   BOOST_TEST(record.ChargeAndRemove(kOne, nullptr) == 250);
@@ -76,14 +76,15 @@
 
 BOOST_AUTO_TEST_CASE(WhatADeadMemberLockedIsNotCharged) {
   PrepaidRecord record = Record();
-  PrepaidSpend spend;
+  SpendAccount spend;
   spend.customers[kCustomer] = {0, 200};
   BOOST_TEST(record.ChargeAndRemove(kOne, &spend) == 50);
   BOOST_TEST(record.customers[kCustomer].settled == 250);
   BOOST_TEST(record.customers[kCustomer].Free() == 600);
 }
 
-// No one is left to record it again, and it would stay for good.
+// Guards against transfers that stay in the record for good: when both sides
+// are gone, no router is left to record them again.
 BOOST_AUTO_TEST_CASE(ATransferGoesWithBothItsSides) {
   PrepaidRecord record = Record();
   record.ChargeAndRemove(kOne, nullptr);
--- a/prepaid/testing/record_writes_test.cc
+++ b/prepaid/testing/record_writes_test.cc
@@ -1,17 +1,17 @@
-// How often the holders of a large fleet write the one prepaid record, and how
-// many of these writes meet another's.
+// Tests how often the holders of a large fleet write the prepaid record, and
+// how many of these writes are rejected because another holder wrote first.
 //
 // The load: fifteen holders in five halls and forty customers, a few of them
-// large. In each hall a customer's requests come to one holder. A holder takes
-// some time from seeing the record to having its write at the store, as its VM
-// has a small part of a processor; a write that another came before is rejected
-// and made again. The figures are those of a deployment in use: 5 million
-// tokens a second, requests of 1,600 to 17,000, small VMs with 0.12 of a
-// processor, on which a record of some 50 kB takes about 30 ms to read, change
-// and write.
+// large. In each hall a customer's requests come to one holder. A write reaches
+// the store some time after the holder has seen the record; if another write
+// came before, it is rejected and made again. The figures are those of a
+// deployment in use: 5 million tokens a second, requests of 1,600 to 17,000
+// tokens, and small VMs with 0.12 of a processor, on which reading, changing
+// and writing a record of some 50 kB takes about 30 ms.
 //
-// Each rejected write costs a call, the processor time of the whole record at
-// two routers, and a grant that a caller may wait for.
+// Each rejected write costs a store call, the processor time to handle the
+// complete record at two routers, and a delay for callers that wait for a
+// grant.
 
 #include <array>
 #include <boost/test/unit_test.hpp>
@@ -39,16 +39,16 @@
 constexpr int kTokensASecond = 5'000'000;
 constexpr std::array<Tokens, 3> kSizes{1'600, 9'200, 17'000};
 constexpr Duration kRequestTime = milliseconds(600);
-// A request waits so long for a larger grant (relay/hold_patience.h).
-constexpr Duration kPatience = milliseconds(160);
-// What the deployment prepays: 1.3 times the load of its busy half minute.
+// How long a request waits for a larger grant (relay/hold_patience.h).
+constexpr Duration kHoldTimeout = milliseconds(160);
+// All budgets of the deployment: 1.3 times the load of its busiest half minute.
 constexpr Tokens kAllLimits = Tokens{kTokensASecond} * 45;
 
 CustomerName CustomerAt(int n) {
   return CustomerName("customer" + std::to_string(n));
 }
 
-// The n-th largest has 1/n of what the largest has.
+// A customer's share of the load: the n-th largest has 1/n of the largest's.
 double ShareOf(int n) {
   double sum = 0;
   for (int i = 1; i <= kCustomers; ++i) sum += 1.0 / i;
@@ -85,12 +85,13 @@
     written = rejected = reports = held = waited = refused = 0;
   }
 
-  // Writes of the record that took effect, and that didn't.
+  // Writes of the record that were applied, and that were rejected.
   int written = 0;
   int rejected = 0;
-  // Writes of a holder's own account alone.
+  // Writes that change only a holder's account.
   int reports = 0;
-  // Requests: all that were held, those of them that waited, and others.
+  // Requests: those that were held, those of them that waited, and those that
+  // were refused.
   int held = 0;
   int waited = 0;
   int refused = 0;
@@ -124,11 +125,11 @@
     for (int customer = 0; customer < kCustomers; ++customer) {
       const int hall = n / kHoldersOfAHall;
       if ((customer + hall) % kHoldersOfAHall != n % kHoldersOfAHall) continue;
-      Ask(it, customer);
+      AddRequests(it, customer);
     }
   }
 
-  void Ask(Holder& it, int customer) {
+  void AddRequests(Holder& it, int customer) {
     const double tokens =
         kTokensASecond * ShareOf(customer) * ToSeconds(kTick) / kHalls;
     for (const Tokens size : kSizes) {
@@ -148,7 +149,7 @@
       const Waiting first = list.front();
       const bool is_held =
           it.ledger->Hold(now_, name, first.size) == PrepaidVerdict::kHeld;
-      if (!is_held && now_ - first.since < kPatience) break;
+      if (!is_held && now_ - first.since < kHoldTimeout) break;
       list.pop_front();
       ++(is_held ? held : refused);
       if (!is_held) continue;
@@ -167,8 +168,8 @@
     }
     if (it.ledger->NeedsRead(now_)) {
       PrepaidState state{record_revision_, record_, {}};
-      const auto own = spends_.find(it.self);
-      if (own != spends_.end()) state.spends.insert(*own);
+      const auto stored = spends_.find(it.self);
+      if (stored != spends_.end()) state.spends.insert(*stored);
       it.ledger->OnRead(now_, state);
     }
     it.write = it.ledger->NextWrite(now_);
@@ -209,15 +210,16 @@
   fleet.Run(std::chrono::seconds(5));
   fleet.StartCounting();
   fleet.Run(std::chrono::seconds(kSeconds));
-  const double a_second = kSeconds;
-  BOOST_TEST_MESSAGE("a second: " << fleet.written / a_second << " written, "
-                                  << fleet.rejected / a_second << " rejected, "
-                                  << fleet.reports / a_second << " reports, "
-                                  << fleet.held / a_second << " held, "
-                                  << fleet.waited / a_second << " waited, "
-                                  << fleet.refused / a_second << " refused");
-  // A holder tries to change the record 1.9 times a second. If only grants that
-  // are low were topped up, it would be 3.2 times, with twice the rejections.
+  const double run_seconds = kSeconds;
+  BOOST_TEST_MESSAGE("a second: " << fleet.written / run_seconds << " written, "
+                                  << fleet.rejected / run_seconds
+                                  << " rejected, "
+                                  << fleet.reports / run_seconds << " reports, "
+                                  << fleet.held / run_seconds << " held, "
+                                  << fleet.waited / run_seconds << " waited, "
+                                  << fleet.refused / run_seconds << " refused");
+  // A holder tries to change the record 1.9 times a second. If only low grants
+  // were topped up, it would be 3.2 times, with twice the rejections.
   BOOST_TEST(fleet.written <= kHolders * kSeconds);
   BOOST_TEST(fleet.rejected <= 20 * kSeconds);
   BOOST_TEST(fleet.refused * 1000 <= fleet.held);
