--- a/config/service_map.cc
+++ b/config/service_map.cc
@@ -22,7 +22,8 @@
   }
 }
 
-// Prefixes end with a slash, so only the parts of the path that do can match.
+// Prefixes end with a slash, so only parts of the path that end with one can
+// match.
 const RouteRule* ServiceMap::Match(std::string_view host,
                                    std::string_view path) const {
   const auto routes = hosts_.find(host);
@@ -52,10 +53,10 @@
   const int total = std::accumulate(
       route.services.begin(), route.services.end(), 0,
       [](int sum, const ServiceShare& it) { return sum + it.weight; });
-  double rest = draw * total;
+  double remaining = draw * total;
   for (const ServiceShare& it : route.services) {
-    rest -= it.weight;
-    if (rest < 0) return it.service;
+    remaining -= it.weight;
+    if (remaining < 0) return it.service;
   }
   return route.services.back().service;
 }
--- a/config/service_map.h
+++ b/config/service_map.h
@@ -1,20 +1,20 @@
-// ServiceMap: what the configuration in force says about requests: which
-// service takes them, who may send them, and within which limits.
+// ServiceMap: the configuration in force for requests: which service serves
+// them, which customers may send them, and within which limits.
 //
 //   const RouteRule* route = map->Match("api.example", "/books/7/");
 //   const CustomerRule* customer = map->FindKey("secret");
 //   const ServiceName& service = PickService(*route, draw);
 //
-// It is immutable once built. A request keeps the one that it was admitted
-// under (`ServiceMapPtr`), so that a change of the configuration doesn't reach
-// into requests that are running; the pointers that it hands out live as long.
+// Immutable. A request keeps the map that it was admitted under
+// (`ServiceMapPtr`), so that a change of the configuration doesn't affect
+// running requests. The pointers that a map returns live as long as the map.
 //
-// It owns the rules and relies on nothing. It takes them as they are: what they
-// may hold is checked by who builds it (platform/config_reader.h). Of two
-// routes with the same host and prefix, or two customers with the same key, the
-// later one counts. A lookup that finds nothing returns null.
+// The map owns the rules, relies on nothing and validates nothing;
+// platform/config_reader.h checks the rules before. Of two routes with the same
+// host and prefix, or two customers with the same key, the later one counts. A
+// lookup that finds nothing returns null.
 //
-// Where the configuration leaves out a field, the defaults below hold.
+// The defaults below apply to fields that the configuration leaves out.
 
 #ifndef QUAYTRACK_CONFIG_SERVICE_MAP_H_
 #define QUAYTRACK_CONFIG_SERVICE_MAP_H_
@@ -34,10 +34,10 @@
 
 namespace quaytrack {
 
-// Whether a request may run more than once, and how its answer comes.
+// Whether a request may run more than once, and whether its answer is a stream.
 enum class RouteKind { kIdempotent, kNonIdempotent, kStreaming };
 
-// The words of the metrics' label `kind`; dashboards and alerts read them.
+// Values of the metrics' label `kind`; dashboards and alerts use them.
 template <>
 struct EnumTable<RouteKind> {
   static constexpr auto kEntries = std::to_array<EnumEntry<RouteKind>>(
@@ -46,7 +46,7 @@
        {RouteKind::kStreaming, "streaming"}});
 };
 
-// A service's part of a route's requests.
+// A service's share of a route's requests.
 struct ServiceShare {
   ServiceName service;
   // Relative to the sum of the route's weights.
@@ -61,26 +61,28 @@
   // Begins and ends with a slash.
   std::string path_prefix;
   RouteKind kind = RouteKind::kNonIdempotent;
-  // The longest that a request is held, whatever its caller allows.
+  // The longest time that a request may take, even if its caller allows more.
   std::chrono::milliseconds timeout{30000};
-  // Until an answer is in time; for a stream, until its first event.
+  // The time within which a complete answer, or the first event of a stream,
+  // counts as in time.
   std::chrono::milliseconds target_latency{1000};
   // 0 is the most urgent.
   int priority = 0;
-  // At least one entry; of several, one is drawn by weight.
+  // At least one entry. Each request goes to one, drawn by weight.
   std::vector<ServiceShare> services;
-  // Targets that one request may be sent to, the first one included.
+  // Number of targets that one request may be sent to, including the first.
   int max_attempts = 1;
-  // Needs no key.
+  // Requests need no key.
   bool open_to_all = false;
-  // A broken stream may go on at another target.
+  // A broken stream may be continued by another target.
   bool resumable = false;
   // The longest pause between events of a stream that is in time.
   std::chrono::milliseconds target_gap{0};
   // Where its requests may be processed.
   Residency residency;
 
-  // A request may be run again although an attempt may have run.
+  // Whether a request may be run again although an earlier attempt may have
+  // run.
   bool Repeatable() const {
     if (kind == RouteKind::kStreaming) return resumable;
     return kind == RouteKind::kIdempotent;
@@ -89,12 +91,13 @@
 
 struct ServiceRule {
   ServiceName name;
-  // Requests that one engine runs at once; 0 for other services.
+  // Requests that one engine runs at the same time; 0 if the service's targets
+  // aren't engines.
   int engine_slots = 0;
   // Tokens in one event of a stream.
   int event_tokens = 1;
-  // For how long a target is slow after a start, and the requests a second that
-  // it bears meanwhile; 0 if nothing is known to bound them.
+  // How long a target is slow after a start, and the requests per second that
+  // it can serve meanwhile; 0 if no bound is known.
   std::chrono::milliseconds cold_start{0};
   double cold_per_s = 0;
 
@@ -104,23 +107,23 @@
 struct CustomerRule {
   CustomerName name;
   std::vector<std::string> keys;
-  // 0 is the most urgent. It ranks before the route's.
+  // 0 is the most urgent. It takes precedence over the route's priority.
   int priority = 0;
-  // Tokens that the customer may get in all, prompts and answers together;
-  // negative if it has no budget to keep to.
+  // Total tokens that the customer may use, prompts and answers together;
+  // negative if it has no budget.
   Tokens prepaid = -1;
-  // Where its requests may be processed; the route's binds as well.
+  // Where its requests may be processed; the route's residency applies as well.
   Residency residency;
 };
 
-// What a caller may send, and how long it may take.
+// Limits on what a caller may send, and on how long sending may take.
 struct RequestLimits {
   // Of the request line and the headers.
   std::size_t max_head_bytes = 16 * 1024;
   std::size_t max_body_bytes = 4 * 1024 * 1024;
   // From a request's first byte to the end of its head.
   std::chrono::milliseconds head_timeout{3000};
-  // Between two requests, and without progress inside a body.
+  // The longest time between two requests, and without progress inside a body.
   std::chrono::milliseconds idle_timeout{15000};
 };
 
@@ -134,13 +137,13 @@
   const RequestLimits& limits() const { return limits_; }
   const std::vector<CustomerRule>& customers() const { return customers_; }
   const std::vector<ServiceRule>& services() const { return services_; }
-  // Without keys, anybody may use every route.
+  // Without customers there are no keys, and every caller may use every route.
   bool needs_keys() const { return !customers_.empty(); }
 
   // The route with the longest prefix of `path` among those of `host`; null if
   // there is none.
   const RouteRule* Match(std::string_view host, std::string_view path) const;
-  // The customer that has this key; null if nobody has.
+  // The customer that has this key; null if there is none.
   const CustomerRule* FindKey(const std::string& key) const;
   const ServiceRule* FindService(const ServiceName& name) const;
 
@@ -160,8 +163,8 @@
 
 using ServiceMapPtr = std::shared_ptr<const ServiceMap>;
 
-// The service that a request goes to, drawn by weight. `draw` is uniform in
-// [0, 1). The last service if no weight is above 0.
+// The service that a request goes to, drawn by weight; the last service if no
+// weight is above 0. `draw` is uniform in [0, 1).
 const ServiceName& PickService(const RouteRule& route, double draw);
 
 }  // namespace quaytrack
--- a/config/testing/service_map_test.cc
+++ b/config/testing/service_map_test.cc
@@ -1,5 +1,5 @@
-// The configuration in force: routes, shares of services, and the words that
-// the metrics use for kinds of routes.
+// Tests the rules of routes, the shares of services, customers' keys, and the
+// metrics' label values for kinds of routes.
 
 #include "config/service_map.h"
 
@@ -8,7 +8,7 @@
 namespace quaytrack {
 namespace {
 
-// Dashboards and alerts read these.
+// Guards against changed label values, which dashboards and alerts use.
 BOOST_AUTO_TEST_CASE(KindsOfRoutesKeepTheirWordsInTheMetrics) {
   BOOST_TEST(NameOf(RouteKind::kIdempotent) == "idempotent");
   BOOST_TEST(NameOf(RouteKind::kNonIdempotent) == "non_idempotent");
@@ -36,7 +36,7 @@
   BOOST_TEST((PickService(route, 0.249) == ServiceName("a")));
   BOOST_TEST((PickService(route, 0.25) == ServiceName("b")));
   BOOST_TEST((PickService(route, 0.999) == ServiceName("b")));
-  // Without any share, the last.
+  // If no weight is above 0, the last service is picked.
   route.services = {{ServiceName("a"), 0}, {ServiceName("b"), 0}};
   BOOST_TEST((PickService(route, 0.5) == ServiceName("b")));
 }
