--- a/fleet/closed_halls.h
+++ b/fleet/closed_halls.h
@@ -1,38 +1,39 @@
 // ClosedHalls: which halls operators have closed to new work.
 //
 //   ClosedHalls halls;
-//   halls.Replace(closed, revision);            // a whole reading of the store
+//   halls.Replace(closed, revision);            // a complete read of the store
 //   halls.Note(hall, {revision, true});         // one change of the store
-//   halls.Merge(message.halls);                 // what a peer knows
-//   if (halls.IsClosed(entry.hall)) ...         // nothing further goes there
+//   halls.Merge(message.halls);                 // the states of a peer
+//   if (halls.IsClosed(entry.hall)) ...         // send nothing more there
 //
-// Targets of a closed hall get nothing further: no first send, no retry, no
-// rest of a broken stream, no check. What runs there runs to its end. Routers
-// in the hall serve on, as it is about targets. A hall that nobody knows may be
-// closed as well; it counts once a target is listed there.
+// Targets in a closed hall are sent nothing more: no first attempt, no retry,
+// no continuation of a broken stream, no check. Requests that run there run to
+// their end. Routers in the hall keep serving, as only targets are affected. A
+// hall without listed targets may be closed too; that takes effect once a
+// target is listed there.
 //
 // Each state carries the store's revision of the change that made it, and only
-// a later revision changes it. So an older reading, a reader that is behind, a
-// peer that was cut off and a message that comes twice or late turn nothing
-// back, and all who know the same latest change agree, whoever told them. A
-// reading of all says of a hall that it doesn't name that it was open then.
+// a later revision changes it. So an older read, a reader that is behind, a
+// peer that was cut off and a message that is duplicated or late revert
+// nothing, and all routers that know the same latest change agree, wherever
+// they got it from. A complete read means that every hall it doesn't name was
+// open at its revision.
 //
-// That a hall was opened again is remembered and told on, since a peer that was
-// cut off may still hold it closed; the oldest are forgotten beyond
-// `kMostOpened`. A peer's state of a revision up to which every change is known
-// here is old news, whether the hall has a state here or not.
+// Reopened halls are remembered and sent to peers, since a peer that was cut
+// off may still regard them as closed; beyond `kMaxOpened` the oldest are
+// forgotten. A peer's state is outdated, whether or not the hall has a state
+// here, if its revision is one up to which every change is known here.
 //
-// A store that comes back from an older copy of itself (base/store_revision.h)
-// shows the halls as they were then, until operators have written again what
-// was lost. So the first reading of a later era changes no hall of which this
-// router knows a state; it may only close others. A change that follows counts
-// at once, and
+// A store that is restored from an older copy (base/store_revision.h) shows the
+// halls as they were when the copy was taken, until operators have repeated the
+// lost changes. So the first read of a later era changes no hall of which this
+// router knows a state; it can only close others. Later changes take effect at
+// once. For the other halls, the caller adopts the store's states some seconds
+// later with
 //
-//   halls.TakeShown();                          // some seconds later
+//   halls.TakeShown();
 //
-// makes the rest as the store shows it.
-//
-// It owns these states, reads no clock, knows no targets and reports no errors.
+// Owns these states, reads no clock, knows no targets and reports no errors.
 
 #ifndef QUAYTRACK_FLEET_CLOSED_HALLS_H_
 #define QUAYTRACK_FLEET_CLOSED_HALLS_H_
@@ -50,7 +51,7 @@
 namespace quaytrack {
 
 struct HallState {
-  // The store's, of the change that made it so.
+  // The store's revision of the change that made the state.
   StoreRevision revision;
   bool closed = false;
 };
@@ -59,28 +60,31 @@
 
 class ClosedHalls {
  public:
-  // Halls of which it is remembered that they were opened again. A region has
-  // some dozen halls at most; those of deleted ones are what is forgotten.
-  static constexpr std::size_t kMostOpened = 64;
+  // Number of reopened halls that are remembered. A region has some dozen halls
+  // at most, so only deleted halls are forgotten.
+  static constexpr std::size_t kMaxOpened = 64;
 
-  // The store shows a state. Returns whether the hall is now closed and was
-  // open, or the other way round; `Merge` and `Replace` return such halls.
+  // Applies a state that the store shows. Returns whether the hall changed
+  // between closed and open; `Replace`, `Merge` and `TakeShown` return
+  // the halls that did.
   bool Note(const HallName& hall, const HallState& state) {
     const bool was_closed = IsClosed(hall);
-    HallState& at = states_[hall];
-    if (at.revision < state.revision) {
-      at = state;
-      shown_.erase(hall);
+    HallState& current = states_[hall];
+    if (current.revision < state.revision) {
+      current = state;
+      differing_.erase(hall);
     }
     const bool changed = IsClosed(hall) != was_closed;
     ForgetOldest();
     return changed;
   }
 
-  // A whole reading of the store at `revision`: the halls that were closed.
+  // Applies a complete read of the store at `revision`, with the halls that
+  // were closed then.
   std::vector<HallName> Replace(const HallStates& closed,
                                 StoreRevision revision) {
-    if (known_ != StoreRevision() && revision.era > known_.era) {
+    if (applied_up_to_ != StoreRevision() &&
+        revision.era > applied_up_to_.era) {
       return CarryOver(closed, revision);
     }
     std::vector<HallName> changed;
@@ -89,7 +93,7 @@
     }
     const HallStates before = states_;
     for (const auto& [hall, state] : before) {
-      const bool is_carried = shown_.contains(hall);
+      const bool is_carried = differing_.contains(hall);
       if (closed.contains(hall) || !state.closed || is_carried) continue;
       if (Note(hall, {revision, false})) changed.push_back(hall);
     }
@@ -97,36 +101,39 @@
     return changed;
   }
 
-  // Whether some hall is not as the store shows it, after a new era's reading.
-  bool HasCarried() const { return !shown_.empty(); }
-  // Takes what the store has shown of these.
+  // Whether any hall differs from what the store shows since the first read of
+  // a later era.
+  bool HasCarried() const { return !differing_.empty(); }
+  // Sets the halls that differ to what the store shows.
   std::vector<HallName> TakeShown() {
     std::vector<HallName> changed;
-    for (const auto& [hall, closed] : std::exchange(shown_, {})) {
+    for (const auto& [hall, closed] : std::exchange(differing_, {})) {
       states_.at(hall).closed = closed;
       changed.push_back(hall);
     }
     return changed;
   }
 
-  // What a peer knows. It may be older than what is known here.
+  // Applies a peer's states, which may be older than those known here.
   std::vector<HallName> Merge(const HallStates& states) {
     std::vector<HallName> changed;
     for (const auto& [hall, state] : states) {
-      const bool is_old = state.revision <= known_;
+      const bool is_old = state.revision <= applied_up_to_;
       if (!is_old && Note(hall, state)) changed.push_back(hall);
     }
     return changed;
   }
 
-  // Every change of the store up to this revision has been noted.
-  void SetKnown(StoreRevision revision) { known_ = std::max(known_, revision); }
+  // Marks every change of the store up to this revision as applied.
+  void SetKnown(StoreRevision revision) {
+    applied_up_to_ = std::max(applied_up_to_, revision);
+  }
 
   bool IsClosed(const HallName& hall) const {
     const auto it = states_.find(hall);
     return it != states_.end() && it->second.closed;
   }
-  // For peers.
+  // All states, to be sent to peers.
   const HallStates& states() const { return states_; }
   std::set<HallName> closed() const {
     std::set<HallName> out;
@@ -137,17 +144,17 @@
   }
 
  private:
-  // The first reading of a later era.
+  // Applies the first read of a later era.
   std::vector<HallName> CarryOver(const HallStates& closed,
                                   StoreRevision revision) {
     std::vector<HallName> changed;
     for (auto& [hall, state] : states_) {
       state.revision = revision;
-      const bool shown = closed.contains(hall);
-      if (shown == state.closed) {
-        shown_.erase(hall);
+      const bool shown_closed = closed.contains(hall);
+      if (shown_closed == state.closed) {
+        differing_.erase(hall);
       } else {
-        shown_[hall] = shown;
+        differing_[hall] = shown_closed;
       }
     }
     for (const auto& [hall, state] : closed) {
@@ -159,7 +166,7 @@
   }
 
   void ForgetOldest() {
-    if (states_.size() - closed().size() <= kMostOpened) return;
+    if (states_.size() - closed().size() <= kMaxOpened) return;
     auto oldest = states_.end();
     for (auto it = states_.begin(); it != states_.end(); ++it) {
       if (it->second.closed) continue;
@@ -167,15 +174,16 @@
                          it->second.revision < oldest->second.revision;
       if (older) oldest = it;
     }
-    shown_.erase(oldest->first);
+    differing_.erase(oldest->first);
     states_.erase(oldest);
   }
 
   HallStates states_;
-  // Halls that are not as the store shows them, and whether it shows them
+  // Halls that differ from what the store shows, and whether it shows them as
   // closed.
-  std::map<HallName, bool> shown_;
-  StoreRevision known_;
+  std::map<HallName, bool> differing_;
+  // Every change up to this revision has been applied.
+  StoreRevision applied_up_to_;
 };
 
 }  // namespace quaytrack
--- a/fleet/fleet.cc
+++ b/fleet/fleet.cc
@@ -29,7 +29,8 @@
   return out;
 }
 
-// The largest VMs first, and equal ones by their weights.
+// Orders `members` by size class, the largest first, and within a class by
+// their rendezvous weights.
 void SortBySize(std::vector<FleetMember>& members) {
   SortByWeight("holder", members);
   std::stable_sort(members.begin(), members.end(),
@@ -38,12 +39,12 @@
                    });
 }
 
-double Doublings(double amount) { return amount > 0 ? std::log2(amount) : 0; }
+double Log2OrZero(double amount) { return amount > 0 ? std::log2(amount) : 0; }
 
 }  // namespace
 
 int SizeClass(const VmSize& size) {
-  const double both = Doublings(size.link_mbps) + Doublings(size.cores);
+  const double both = Log2OrZero(size.link_mbps) + Log2OrZero(size.cores);
   return static_cast<int>(std::floor(both / 2));
 }
 
@@ -101,17 +102,17 @@
 
 bool FleetDirectory::IsTold(const VmName& vm) const {
   const auto it = members_.find(vm);
-  const bool own_hall = it != members_.end() && it->second.hall == self().hall;
-  return own_hall || IsReader(vm);
+  const bool same_hall = it != members_.end() && it->second.hall == self().hall;
+  return same_hall || IsReader(vm);
 }
 
 std::optional<RendezvousPlace> FleetDirectory::PlaceFor(
     const std::string& key) const {
   if (!is_read_) return std::nullopt;
-  const std::uint64_t own = RendezvousWeight(self_.value, key);
+  const std::uint64_t self_weight = RendezvousWeight(self_.value, key);
   RendezvousPlace out{0, members_.size()};
   for (const auto& [vm, member] : members_) {
-    if (RendezvousWeight(vm.value, key) > own) ++out.rank;
+    if (RendezvousWeight(vm.value, key) > self_weight) ++out.rank;
   }
   return out;
 }
@@ -129,11 +130,11 @@
 std::vector<FleetMember> FleetDirectory::MembersToLink() const {
   std::vector<FleetMember> out = OtherHolders();
   if (IsHolder(self_)) return out;
-  const auto own_hall_end = std::stable_partition(
+  const auto same_hall_end = std::stable_partition(
       out.begin(), out.end(),
       [&](const FleetMember& it) { return it.hall == self().hall; });
-  std::vector<FleetMember> other_halls(own_hall_end, out.end());
-  out.erase(own_hall_end, out.end());
+  std::vector<FleetMember> other_halls(same_hall_end, out.end());
+  out.erase(same_hall_end, out.end());
   SortByWeight(self_.value, other_halls);
   other_halls.resize(
       std::min(other_halls.size(), options_.links_to_other_halls));
--- a/fleet/testing/closed_halls_test.cc
+++ b/fleet/testing/closed_halls_test.cc
@@ -1,4 +1,5 @@
-// Which halls are closed to new work, whoever tells it, in whatever order.
+// Tests which halls are closed to new work, from whichever source and in
+// whatever order the changes arrive.
 
 #include "fleet/closed_halls.h"
 
@@ -46,7 +47,8 @@
   BOOST_TEST(it.IsClosed(kOther));
 }
 
-// A page may show an item that is newer than the reading's revision.
+// Guards against dropping an item that is newer than the revision of the read:
+// a page of a read may show one.
 BOOST_AUTO_TEST_CASE(AnItemNewerThanItsReadingCounts) {
   ClosedHalls it;
   it.Replace({{kHall, {9, true}}}, 7);
@@ -55,7 +57,8 @@
   BOOST_TEST(it.IsClosed(kHall));
 }
 
-// This router has read that the hall is open, and never knew it closed.
+// Guards against an outdated message of a peer that closes a hall. This router
+// has read that the hall is open, and never knew it as closed.
 BOOST_AUTO_TEST_CASE(OldNewsOfAPeerClosesNothing) {
   ClosedHalls it;
   it.Replace({}, 9);
@@ -81,16 +84,16 @@
     it.Note(hall, {10 + 2 * n, true});
     it.Note(hall, {11 + 2 * n, false});
   }
-  BOOST_TEST(it.states().size() == ClosedHalls::kMostOpened + 1);
+  BOOST_TEST(it.states().size() == ClosedHalls::kMaxOpened + 1);
   BOOST_TEST(it.IsClosed(kHall));
 }
 
-// A store's history of four halls, and routers that are told of it by whole
-// readings, by single changes in their order, and by each other's messages,
-// which come late, twice, in any order or never.
-class World {
+// A store's history of four halls, and routers that learn of it by complete
+// reads, by single changes in order, and by each other's messages, which may be
+// late, duplicated, reordered or lost.
+class Simulation {
  public:
-  explicit World(std::uint32_t seed) : random_(seed) {
+  explicit Simulation(std::uint32_t seed) : random_(seed) {
     history_.push_back({});
     for (int n = 1; n <= kChanges; ++n) {
       HallStates next = history_.back();
@@ -105,10 +108,11 @@
     }
   }
 
-  // `older_wins` is the wrong rule: what comes last holds.
-  bool AnyGoesBack(bool older_wins) {
+  // `last_message_wins`: send messages by the wrong rule, by which the last
+  // message received counts instead of the latest revision.
+  bool AnyGoesBack(bool last_message_wins) {
     for (int n = 0; n < kSteps; ++n) {
-      Step(older_wins);
+      Step(last_message_wins);
       for (Router& it : routers_) {
         if (GoesBack(it)) return true;
       }
@@ -124,9 +128,9 @@
 
   struct Router {
     ClosedHalls halls;
-    // What the wrong rule takes it for.
-    HallStates last_told;
-    // Every change up to this one was told to it.
+    // The states by the wrong rule.
+    HallStates last_received;
+    // The router has received every change up to this one.
     int read = 0;
   };
 
@@ -134,7 +138,7 @@
     return static_cast<int>(random_() % static_cast<std::uint32_t>(n));
   }
 
-  void Step(bool older_wins) {
+  void Step(bool last_message_wins) {
     now_ = std::min(now_ + Draw(2), kChanges);
     Router& it = routers_[static_cast<std::size_t>(Draw(kRouters))];
     switch (Draw(4)) {
@@ -143,15 +147,16 @@
       case 1:
         return Follow(it);
       case 2:
-        return messages_.push_back(older_wins ? it.last_told
-                                              : it.halls.states());
+        return messages_.push_back(last_message_wins ? it.last_received
+                                                     : it.halls.states());
       default:
         if (messages_.empty()) return;
         const auto at = messages_.size();
         const HallStates& message =
             messages_[static_cast<std::size_t>(Draw(static_cast<int>(at)))];
         it.halls.Merge(message);
-        for (const auto& [hall, state] : message) it.last_told[hall] = state;
+        for (const auto& [hall, state] : message)
+          it.last_received[hall] = state;
     }
   }
 
@@ -159,8 +164,8 @@
     it.read = std::max(it.read, now_);
     const HallStates& closed = history_[static_cast<std::size_t>(it.read)];
     it.halls.Replace(closed, it.read);
-    for (auto& [hall, state] : it.last_told) state.closed = false;
-    for (const auto& [hall, state] : closed) it.last_told[hall] = state;
+    for (auto& [hall, state] : it.last_received) state.closed = false;
+    for (const auto& [hall, state] : closed) it.last_received[hall] = state;
   }
 
   void Follow(Router& it) {
@@ -173,34 +178,36 @@
       if (before.contains(hall) == after.contains(hall)) continue;
       const HallState state{it.read, after.contains(hall)};
       it.halls.Note(hall, state);
-      it.last_told[hall] = state;
+      it.last_received[hall] = state;
     }
     it.halls.SetKnown(it.read);
   }
 
-  // It takes a hall for what it was before a change that it was told of. A hall
-  // may be known newer than that, from a peer, but not older.
+  // Whether the router has a state of a hall from before a change that it has
+  // received. It may have a newer state than that, from a peer, but not an
+  // older one.
   bool GoesBack(const Router& it) const {
     for (int n = 0; n < kHalls; ++n) {
       const HallName hall("h" + std::to_string(n));
-      if (!MayBe(it, hall)) return true;
+      if (!IsPossibleState(it, hall)) return true;
     }
     return false;
   }
 
-  bool MayBe(const Router& it, const HallName& hall) const {
+  bool IsPossibleState(const Router& it, const HallName& hall) const {
     const bool closed = it.halls.IsClosed(hall);
-    const auto told = it.last_told.find(hall);
-    const bool wrong = told != it.last_told.end() && told->second.closed;
+    const auto received = it.last_received.find(hall);
+    const bool wrong =
+        received != it.last_received.end() && received->second.closed;
     for (int at = it.read; at <= now_; ++at) {
       const bool then = history_[static_cast<std::size_t>(at)].contains(hall);
-      if (then == (judge_wrong_rule ? wrong : closed)) return true;
+      if (then == (check_wrong_rule ? wrong : closed)) return true;
     }
     return false;
   }
 
  public:
-  bool judge_wrong_rule = false;
+  bool check_wrong_rule = false;
 
  private:
   std::mt19937 random_;
@@ -211,23 +218,24 @@
 };
 
 BOOST_AUTO_TEST_CASE(NoHistoryTurnsARouterBack) {
-  BOOST_TEST(rc::check(
-      [](std::uint32_t seed) { RC_ASSERT(!World(seed).AnyGoesBack(false)); }));
+  BOOST_TEST(rc::check([](std::uint32_t seed) {
+    RC_ASSERT(!Simulation(seed).AnyGoesBack(false));
+  }));
 }
 
-// The property is strict enough to find a rule that goes by what came last.
+// Checks that the property is strict enough to detect the wrong rule.
 BOOST_AUTO_TEST_CASE(TheRuleThatTakesWhatComesLastIsFound) {
   int found = 0;
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
-    World it(seed);
-    it.judge_wrong_rule = true;
+    Simulation it(seed);
+    it.check_wrong_rule = true;
     if (it.AnyGoesBack(true)) ++found;
   }
   BOOST_TEST(found >= 15);
 }
 
-// Guards against a closed hall that takes work again as the store came back
-// from a copy of before, and against an opened one that is closed again.
+// Guards against a closed hall that gets work again, and a reopened one that is
+// closed again, when the store is restored from a copy taken before the change.
 BOOST_AUTO_TEST_CASE(AnOlderCopyChangesNoHallThatIsKnown) {
   ClosedHalls it;
   it.Replace({{kOther, {{1, 5}, true}}}, {1, 9});
@@ -236,20 +244,20 @@
   BOOST_TEST(it.Replace({{kOther, {{2, 5}, true}}}, {2, 10}).empty());
   BOOST_TEST(it.IsClosed(kHall));
   BOOST_TEST(!it.IsClosed(kOther));
-  // Operators write again what was lost.
+  // Operators repeat the lost changes.
   BOOST_TEST(!it.Note(kHall, {{2, 11}, true}));
   BOOST_TEST(!it.Note(kOther, {{2, 12}, false}));
   BOOST_TEST(!it.HasCarried());
 }
 
-// Guards against a hall that stays closed for good, as the copy was taken after
-// it was opened, and this router never learned of that.
+// Guards against a hall that stays closed for good: the copy was taken after it
+// was reopened, and this router never learned of that.
 BOOST_AUTO_TEST_CASE(WhatNobodyWritesAgainIsTakenAsTheStoreShowsIt) {
   ClosedHalls it;
   it.Replace({{kHall, {{1, 5}, true}}}, {1, 9});
   BOOST_TEST(it.Replace({}, {2, 7}).empty());
   BOOST_TEST(it.IsClosed(kHall));
-  // A later reading of the same era says no more.
+  // A later read of the same era changes nothing more.
   BOOST_TEST(it.Replace({}, {2, 8}).empty());
   BOOST_TEST(it.HasCarried());
   BOOST_TEST(it.TakeShown().size() == 1U);
--- a/fleet/testing/fleet_test.cc
+++ b/fleet/testing/fleet_test.cc
@@ -1,4 +1,5 @@
-// Which routers keep budgets, and whom the others ask.
+// Tests which routers hold budgets, and which routers the others ask and link
+// to.
 
 #include "fleet/fleet.h"
 
@@ -46,8 +47,9 @@
   for (const auto& [hall, n] : holders) BOOST_TEST(n == 3);
 }
 
-// Three VMs of a hall are larger than the other 56: ten times the link, four
-// times the processor. Each holder serves an equal part of the hall.
+// Three VMs of a hall are larger than the other 56, with ten times the link and
+// four times the processor. They must be the holders, as each holder serves an
+// equal share of the hall.
 BOOST_AUTO_TEST_CASE(TheLargestVmsOfAHallHoldItsBudgets) {
   const int large = SizeClass({.link_mbps = 200, .cores = 0.5});
   const int small = SizeClass({.link_mbps = 20, .cores = 0.12});
@@ -78,7 +80,7 @@
 BOOST_AUTO_TEST_CASE(SizesCountByDoublings) {
   BOOST_TEST(SizeClass({.link_mbps = 1000, .cores = 0.26}) ==
              SizeClass({.link_mbps = 1100, .cores = 0.27}));
-  // Much of one doesn't make up for little of the other.
+  // A large amount of one resource doesn't make up for a lack of the other.
   BOOST_TEST(SizeClass({.link_mbps = 20, .cores = 0.5}) <
              SizeClass({.link_mbps = 200, .cores = 0.5}));
   BOOST_TEST(SizeClass({}) == 0);
@@ -87,9 +89,9 @@
 BOOST_AUTO_TEST_CASE(AReaderTellsItsHallAndTheOtherReaders) {
   FleetDirectory fleet = Fleet(kLarge);
   for (int n = 0; n < kLarge; ++n) {
-    const bool own_hall = n % kHalls == 0;
+    const bool same_hall = n % kHalls == 0;
     BOOST_TEST(fleet.IsTold(Member(n).vm) ==
-               (own_hall || fleet.IsReader(Member(n).vm)));
+               (same_hall || fleet.IsReader(Member(n).vm)));
   }
   BOOST_TEST(fleet.readers() == 9U);
   BOOST_TEST(Fleet(8).readers() == 0U);
@@ -114,13 +116,14 @@
   }
 }
 
-// Links don't grow with the fleet: a few for most, one for each router of the
-// hall at a holder.
+// The number of links that a router opens must not grow with the fleet: at most
+// 8 at a holder, and 5 at any other router. (A holder also gets a link from
+// each router of its hall.)
 BOOST_AUTO_TEST_CASE(LinksOfMostRoutersAreFew) {
   for (int self = 0; self < kLarge; ++self) {
     const FleetDirectory fleet = Fleet(kLarge, self);
-    const std::size_t most = fleet.IsHolder(Member(self).vm) ? 8 : 5;
-    BOOST_TEST(fleet.MembersToLink().size() <= most);
+    const std::size_t max_links = fleet.IsHolder(Member(self).vm) ? 8 : 5;
+    BOOST_TEST(fleet.MembersToLink().size() <= max_links);
   }
 }
 
@@ -128,13 +131,13 @@
   for (int self = 0; self < kLarge; ++self) {
     const FleetDirectory fleet = Fleet(kLarge, self);
     if (fleet.IsHolder(Member(self).vm)) continue;
-    int own_hall = 0;
+    int same_hall = 0;
     int other_halls = 0;
     for (const FleetMember& it : fleet.MembersToLink()) {
       BOOST_TEST(fleet.IsHolder(it.vm));
-      ++(it.hall == Member(self).hall ? own_hall : other_halls);
+      ++(it.hall == Member(self).hall ? same_hall : other_halls);
     }
-    BOOST_TEST(own_hall == 3);
+    BOOST_TEST(same_hall == 3);
     BOOST_TEST(other_halls == 2);
   }
 }
--- a/fleet/testing/hall_regions_test.cc
+++ b/fleet/testing/hall_regions_test.cc
@@ -1,4 +1,4 @@
-// Reading the region of each hall from the settings.
+// Tests how the region of each hall is read from the settings.
 
 #include "fleet/hall_regions.h"
 
--- a/fleet/testing/target_registry_test.cc
+++ b/fleet/testing/target_registry_test.cc
@@ -1,3 +1,7 @@
+// Tests which targets are listed and which are leaving: through an outage of
+// the store, across restarts of a target, and when a target announces that it
+// is leaving.
+
 #include "fleet/target_registry.h"
 
 #include <boost/test/unit_test.hpp>
@@ -60,7 +64,8 @@
   BOOST_TEST(!Listed("lapsed"));
 }
 
-// What the store shows may be older than what was seen before.
+// Guards against a leaving target that gets work again because the store shows
+// an older entry than was seen before.
 BOOST_AUTO_TEST_CASE(ANameThatWasSeenLeavingStaysLeaving) {
   TargetRegistry registry;
   registry.Put(Entry("t", true));
@@ -78,11 +83,11 @@
   registry.Put(Start("t", 5, true));
   BOOST_TEST(registry.Put(Start("t", 9)));
   BOOST_TEST(!registry.entries().at(name).leaving);
-  // Late news of the earlier one.
+  // Late entries of the earlier start.
   BOOST_TEST(!registry.Put(Start("t", 5, true)));
   BOOST_TEST(!registry.Put(Start("t", 5)));
   BOOST_TEST((registry.entries().at(name) == Start("t", 9)));
-  // The same after it was not listed for a while.
+  // The same after the target was not listed for a while.
   registry.Remove(name);
   registry.Put(Start("t", 5));
   BOOST_TEST(registry.entries().at(name).leaving);
@@ -97,14 +102,15 @@
     registry.Put(Entry(name.c_str(), true));
     registry.Remove(TargetName(name));
   }
-  // The latest are known, the first are forgotten.
+  // The latest name is remembered, the first is forgotten.
   registry.Put(Entry("t-19999"));
   BOOST_TEST(registry.entries().at(TargetName("t-19999")).leaving);
   registry.Put(Entry("t-0"));
   BOOST_TEST(!registry.entries().at(TargetName("t-0")).leaving);
 }
 
-// Its entry couldn't be read, and told of it seconds later.
+// Guards against work for a target that has announced that it is leaving while
+// its entry, which can't be read or shows it seconds later, lists it as ready.
 BOOST_AUTO_TEST_CASE(WhatSaysThatItLeavesIsLeavingWhateverItsEntrySays) {
   TargetRegistry registry;
   registry.Put(Start("a", 5));
@@ -114,7 +120,7 @@
   BOOST_TEST(registry.said_leaving().size() == 1U);
   registry.Replace({Start("a", 5)});
   BOOST_TEST(registry.entries().at(TargetName("a")).leaving);
-  // Its entry says so as well now; peers read that.
+  // Now the entry shows it too, and peers can read that.
   registry.Put(Start("a", 5, true));
   BOOST_TEST(registry.said_leaving().empty());
 }
@@ -126,7 +132,7 @@
   registry.Put(Start("a", 9));
   BOOST_TEST(!registry.entries().at(TargetName("a")).leaving);
   BOOST_TEST(registry.said_leaving().empty());
-  // Late news of the start before.
+  // A late announcement of the earlier start.
   BOOST_TEST(!registry.MarkLeaving(TargetName("a"), Start("a", 5).started_at));
   BOOST_TEST(!registry.entries().at(TargetName("a")).leaving);
 }
@@ -138,7 +144,8 @@
   BOOST_TEST(registry.entries().at(TargetName("a")).leaving);
 }
 
-// Through an outage, what vanishes is kept, unless it is known to leave.
+// Targets that disappear during an outage are kept, unless they are known to
+// leave.
 BOOST_FIXTURE_TEST_CASE(WhatSaidThatItLeavesIsNotKept, OutageFixture) {
   registry.Put(Entry("lapsed"));
   registry.MarkLeaving(TargetName("lapsed"), {});
