--- a/dispatch/back_off.h
+++ b/dispatch/back_off.h
@@ -1,18 +1,20 @@
-// BackOffs: targets that want nothing from this router for a while.
+// BackOffs: pauses that targets have requested from this router.
 //
 //   BackOffs back_offs;
-//   back_offs.Note(now, target, wait);      // it refused, with a pause
-//   if (now < back_offs.EndOf(target)) ...  // nothing further goes there
+//   back_offs.Note(now, target, wait);      // refused, and asked for a pause
+//   if (now < back_offs.EndOf(target)) ...  // send nothing
 //
-// A target speaks to the router that it answers; others aren't told. Of two
-// pauses the one that ends later holds, whichever was asked for last, and no
-// success ends one sooner: it may be of a request that the target had before.
+// A pause applies only to the router whose request was answered; routers do not
+// share them. When pauses overlap, the one that ends later applies. A success
+// does not end a pause, because the target may have received that request
+// before it asked for the pause.
 //
-// What is remembered is of one start of a target. An answer of a new start may
-// be taken for one of the start before, until the target's entry has been
-// read; `OnStartedAgain` carries a pause over that was asked for so lately.
+// A pause belongs to one start of a target. After a restart, an answer of the
+// new start may be attributed to the previous start until the target's new
+// entry has been read. `OnRestart` therefore carries a recent pause over to the
+// new start.
 //
-// It owns the ends of pauses, reads no clock, and reports no errors.
+// Owns the end times of pauses; does not read the clock; cannot fail.
 
 #ifndef QUAYTRACK_DISPATCH_BACK_OFF_H_
 #define QUAYTRACK_DISPATCH_BACK_OFF_H_
@@ -36,19 +38,19 @@
     at.until = std::max(at.until, now + wait);
   }
 
-  // The past if it has asked for none.
+  // `Instant{}`, which is in the past, if there is no pause.
   Instant EndOf(const TargetStart& target) const {
     const auto it = pauses_.find(target);
     return it == pauses_.end() ? Instant{} : it->second.until;
   }
 
-  void OnStartedAgain(Instant now, const TargetStart& before,
-                      const TargetStart& after) {
+  void OnRestart(Instant now, const TargetStart& before,
+                 const TargetStart& after) {
     const auto it = pauses_.find(before);
     if (it == pauses_.end()) return;
     if (now - it->second.noted_at >= kEntryTellsWithin) return;
-    const Pause kept = it->second;
-    pauses_[after] = kept;
+    const Pause pause = it->second;
+    pauses_[after] = pause;
   }
 
  private:
--- a/dispatch/crash_blame.cc
+++ b/dispatch/crash_blame.cc
@@ -7,13 +7,13 @@
 
 bool CrashBlame::Note(const CrashReport& report, WallTime now) {
   if (!Add(report, now)) return false;
-  Judge();
+  Evaluate();
   return true;
 }
 
 void CrashBlame::NoteRan(const Fingerprint& request, WallTime at,
                          WallTime now) {
-  if (AddRan({request, at}, now)) Judge();
+  if (AddRan({request, at}, now)) Evaluate();
 }
 
 void CrashBlame::NoteAll(const std::vector<CrashReport>& crashes,
@@ -21,7 +21,7 @@
   bool changed = false;
   for (const CrashReport& it : crashes) changed |= Add(it, now);
   for (const RanReport& it : ran) changed |= AddRan(it, now);
-  if (changed) Judge();
+  if (changed) Evaluate();
 }
 
 bool CrashBlame::Add(const CrashReport& report, WallTime now) {
@@ -29,9 +29,9 @@
   it.at = std::min(it.at, now);
   if (now - it.at > kCrashMemory) return false;
   Suspect& suspect = suspects_[it.request];
-  if (suspect.reports.size() >= kMostReports) return false;
+  if (suspect.reports.size() >= kMaxReports) return false;
   if (!suspect.reports.try_emplace(it.target, it).second) return false;
-  MakeRoom();
+  EvictIfFull();
   return true;
 }
 
@@ -55,13 +55,13 @@
   if (expired == 0) return;
   std::erase_if(suspects_,
                 [](const auto& it) { return it.second.reports.empty(); });
-  Judge();
+  Evaluate();
 }
 
 std::size_t CrashBlame::Crashes(const Fingerprint& request) const {
   const auto it = suspects_.find(request);
   if (it == suspects_.end()) return 0;
-  return UnexplainedOf(request, it->second, {}).crashes;
+  return UnexplainedCrashes(request, it->second, {}).crashes;
 }
 
 std::vector<TargetStart> CrashBlame::TargetsOf(
@@ -73,13 +73,14 @@
   return out;
 }
 
-// It ends with the report that leaves fewer than are needed.
+// The request is blamed until so many reports have expired that fewer than
+// `kCrashesToBlame` are left.
 Duration CrashBlame::Remaining(const Fingerprint& request, WallTime now) const {
   const auto it = suspects_.find(request);
   if (it == suspects_.end()) return Duration::zero();
   std::vector<WallTime> times;
   for (const auto& [target, report] : it->second.reports) {
-    if (Counts(it->second, report)) times.push_back(report.at);
+    if (CountsAgainst(it->second, report)) times.push_back(report.at);
   }
   if (times.size() < kCrashesToBlame) return Duration::zero();
   std::sort(times.begin(), times.end());
@@ -87,29 +88,29 @@
   return std::max<Duration>(last + kCrashMemory - now, Duration::zero());
 }
 
-// --- The verdict -------------------------------------------------------------
+// --- The decision ------------------------------------------------------------
 
-CrashBlame::Candidate CrashBlame::UnexplainedOf(
+CrashBlame::Candidate CrashBlame::UnexplainedCrashes(
     const Fingerprint& request, const Suspect& it,
     const std::set<TargetStart>& explained) {
   Candidate out;
   out.request = request;
   for (const auto& [target, report] : it.reports) {
-    if (explained.contains(target) || !Counts(it, report)) continue;
+    if (explained.contains(target) || !CountsAgainst(it, report)) continue;
     ++out.crashes;
     out.begun_for += report.begun_for;
   }
   return out;
 }
 
-// Whether `a` is to be blamed before `b`.
-bool CrashBlame::IsWorse(const Candidate& a, const Candidate& b) {
+// Whether `a` is blamed before `b`.
+bool CrashBlame::IsBlamedBefore(const Candidate& a, const Candidate& b) {
   if (a.crashes != b.crashes) return a.crashes > b.crashes;
   if (a.begun_for != b.begun_for) return a.begun_for < b.begun_for;
   return a.request < b.request;
 }
 
-void CrashBlame::Judge() {
+void CrashBlame::Evaluate() {
   blamed_.clear();
   std::set<TargetStart> explained;
   while (true) {
@@ -118,9 +119,9 @@
       if (it.reports.size() < kCrashesToBlame || blamed_.contains(request)) {
         continue;
       }
-      const Candidate next = UnexplainedOf(request, it, explained);
+      const Candidate next = UnexplainedCrashes(request, it, explained);
       if (next.crashes < kCrashesToBlame) continue;
-      if (worst.crashes == 0 || IsWorse(next, worst)) worst = next;
+      if (worst.crashes == 0 || IsBlamedBefore(next, worst)) worst = next;
     }
     if (worst.crashes == 0) return;
     blamed_.insert(worst.request);
@@ -130,8 +131,8 @@
   }
 }
 
-void CrashBlame::MakeRoom() {
-  if (suspects_.size() <= kMostRequests) return;
+void CrashBlame::EvictIfFull() {
+  if (suspects_.size() <= kMaxRequests) return;
   const auto rank = [](const Suspect& it) {
     WallTime latest{};
     for (const auto& [target, report] : it.reports) {
@@ -139,11 +140,11 @@
     }
     return std::pair(it.reports.size(), latest);
   };
-  const auto least = std::min_element(suspects_.begin(), suspects_.end(),
-                                      [&](const auto& a, const auto& b) {
-                                        return rank(a.second) < rank(b.second);
-                                      });
-  suspects_.erase(least);
+  const auto evicted = std::min_element(
+      suspects_.begin(), suspects_.end(), [&](const auto& a, const auto& b) {
+        return rank(a.second) < rank(b.second);
+      });
+  suspects_.erase(evicted);
 }
 
 }  // namespace quaytrack
--- a/dispatch/link_watch.h
+++ b/dispatch/link_watch.h
@@ -1,29 +1,29 @@
-// LinkWatch: whether this VM's network link carries about as much as it can.
+// LinkWatch: whether this VM's network link is close to its capacity.
 //
 //   LinkWatch watch({link_bytes_per_s});
-//   if (watch.Observe(now, bytes_in, bytes_out)) ...   // IsBusy has changed
+//   if (watch.Observe(now, bytes_in, bytes_out)) ...   // IsBusy() has changed
 //   if (watch.IsBusy()) ...
 //
-// The rule. The load is what the busier direction carried, over what the link
-// can carry, smoothed. The link is busy from `busy` on, and until the load is
-// below `eased` again. A router whose link is busy reports itself as not ready,
-// so that it gets no new connections; open ones stay.
+// Rule: the load is the bytes carried by the busier direction over the capacity
+// of the link, smoothed. The link becomes busy when the load reaches `busy`,
+// and stays busy until the load falls below `eased`. A router whose link is
+// busy reports itself as not ready, so that it gets no new connections; open
+// connections stay.
 //
-// Why. A full link delays everything on it, and connections opened over it
-// fail. The balancer spreads connections by a hash of the caller, without
-// looking at load, so one large customer can fill one VM's link while others
-// are idle. A router that steps aside for a while makes the load spread over as
-// many routers as it needs.
+// Reason: a full link delays all traffic on it, and new connections over it
+// fail. The load balancer distributes connections by a hash of the caller
+// without regard to load, so one large customer can fill the link of one VM
+// while others are idle. A router that reports itself as not ready for a while
+// makes the load spread over as many routers as it needs.
 //
 // Inputs: running totals of bytes in each direction, taken a few times a
-// second. The link's speed is a setting (--link-mbps); without it, nothing is
-// ever busy. `link_busy` of the log shows the rule at work.
+// second. The link's capacity is a setting (--link-mbps); without it, the link
+// is never busy. The log event `link_busy` reports each change.
 //
-// Measured: with these figures and a headroom (--cover-s) of 10 s, which came
-// in one change, the worth of the grown site's quiet-1 rose from 0.346 to 0.546
-// (trial, commit 02163af). Other figures were not tried.
+// With these thresholds and a headroom (--cover-s) of 10 s, introduced
+// together, the score of one benchmark day rose from 0.346 to 0.546.
 //
-// It owns its last totals and the smoothed load, and can't fail.
+// Owns its last totals and the smoothed load; cannot fail.
 
 #ifndef QUAYTRACK_DISPATCH_LINK_WATCH_H_
 #define QUAYTRACK_DISPATCH_LINK_WATCH_H_
@@ -36,12 +36,13 @@
 namespace quaytrack {
 
 struct LinkWatchOptions {
-  // Bytes a second in each direction; 0 if it isn't known.
+  // Bytes a second in each direction; 0 if unknown.
   double bytes_per_s = 0;
-  // Load from which the link is busy, and below which it has eased; 1 is full.
+  // Thresholds of the load: busy from the first, no longer busy below the
+  // second; 1 is full.
   double busy = 0.6;
   double eased = 0.45;
-  // Time constant of the smoothing. Not measured.
+  // Time constant of the smoothing.
   Duration smoothing = std::chrono::milliseconds(700);
 };
 
@@ -50,7 +51,7 @@
   explicit LinkWatch(LinkWatchOptions options) : options_(options) {}
 
   // Takes the bytes carried since the start. Returns whether `IsBusy` has
-  // changed. The first call only sets where the next one counts from.
+  // changed. The first call only sets the reference for the next one.
   bool Observe(Instant now, double bytes_in, double bytes_out) {
     if (options_.bytes_per_s <= 0) return false;
     const double carried =
--- a/dispatch/outlier_ejection.cc
+++ b/dispatch/outlier_ejection.cc
@@ -7,17 +7,15 @@
 namespace quaytrack {
 namespace {
 
-// None of these figures has been measured; all are from the first version.
-
-// Weight of the newest outcome in the failure share. 0.2: about the last five
-// outcomes count.
+// Weight of the newest outcome in the failure share. With 0.2, about the last
+// five outcomes count.
 constexpr double kOutcomeWeight = 0.2;
-// Seconds after which a failure share counts half.
+// Seconds after which the failure share has halved.
 constexpr double kFailureHalfLife = 3.0;
-// Failures in a row that eject a target.
+// Consecutive failures that eject a target.
 constexpr int kFailuresToEject = 3;
-// The first ejection; each further failure doubles the time up to
-// 2^kMaxDoublings, which is 4 s.
+// Duration of the first ejection. Each further failure doubles it, at most
+// `kMaxDoublings` times, which is 4 s.
 constexpr Duration kFirstEjection = std::chrono::milliseconds(500);
 constexpr int kMaxDoublings = 3;
 
@@ -33,12 +31,12 @@
   failure_share_ = before + ((failed ? 1.0 : 0.0) - before) * kOutcomeWeight;
   recorded_at_ = now;
   if (!failed) {
-    failures_in_a_row_ = 0;
+    consecutive_failures_ = 0;
     ejected_until_ = {};
     return;
   }
-  ++failures_in_a_row_;
-  const int doublings = failures_in_a_row_ - kFailuresToEject;
+  ++consecutive_failures_;
+  const int doublings = consecutive_failures_ - kFailuresToEject;
   if (doublings < 0) return;
   ejected_until_ =
       now + kFirstEjection * (1 << std::min(doublings, kMaxDoublings));
--- a/dispatch/placement.cc
+++ b/dispatch/placement.cc
@@ -11,60 +11,56 @@
 namespace quaytrack {
 namespace {
 
-// The charges of the rule in placement.h. "First version" is commit df506c1,
-// which gives no measurement of them.
-
-// Milliseconds for each running request of an engine, and for an engine that
-// isn't the preferred one, so that equal costs don't spread a part over all.
-// Chosen together in the trial of commit 195581d: of 0, 80 and 150 ms (the last
-// with 3 in place of 1 for each running request), 150 ms read the fewest shared
-// tokens again and had the most credit on quiet-1 (journal runs c5c6b1d8,
-// a7c8164e and 9852fa4a).
+// The charges of the rule in placement.h.
+
+// Milliseconds for each running request of an engine, and for an engine that is
+// not the preferred one; the latter keeps equal costs from spreading a part
+// over all engines. Of 0, 80 and 150 ms, 150 ms made engines prefill the fewest
+// shared tokens again and gave callers the most credit.
 constexpr double kPerRunningMs = 3;
 constexpr double kNotPreferredMs = 150;
-// Milliseconds for a target in another hall. Not measured; first version.
+// Milliseconds for a target in another hall.
 constexpr double kOtherHallMs = 8;
-// Milliseconds for a target all of whose recent requests failed. Not measured;
-// first version.
+// Milliseconds for a target all of whose recent requests failed.
 constexpr double kFailureMs = 4000;
-// Milliseconds of a plain service's answer; also what a wait for one occupied
-// slot costs. Not measured; first version.
+// Milliseconds for the answer of a service other than engines; also the cost of
+// waiting for one occupied slot.
 constexpr double kBaseAnswerMs = 40;
-// Weight of the newest answer in a target's slowness. Not measured; first
-// version.
+// Weight of the newest answer in a target's slowness.
 constexpr double kSlownessWeight = 0.2;
-// The most that one answer counts, in expected times. Most answers that take
-// longer waited for prompts of other routers, which says nothing about the
-// target: with 20, prompts left the engines that had their parts cached. Trials
-// on several sets of days: with 20 callers got 0.006 to 0.011 less of what they
-// are owed; 1 to 2 differ by less than the spread.
+// Bound on the ratio of actual to expected time of one answer. Most answers
+// that take longer waited for prompts of other routers, which shows nothing
+// about the target. With 20, prompts left the engines that had their parts
+// cached, and callers got 0.006 to 0.011 less of what they are owed; 1 to 2
+// differ by less than the spread.
 constexpr double kMaxSlowness = 2;
 
-// Peers are told of a prompt that keeps its engine busy for this part of the
-// pause that streams may make: less is no reason to go elsewhere.
-constexpr double kWorthTelling = 0.1;
-// The most that peers can keep an engine busy, in milliseconds, so that what
-// they tell never rules one out for long.
-constexpr double kLongestBusyMs = 3000;
-
-// A rate limit that was last heard of so long ago is asked for again. It is
-// well within the span over which limits are kept, so that one that has ended
-// costs its target little.
-constexpr Duration kAskAgainAfter = std::chrono::seconds(2);
-
-// Operators' word on a version that is listed for the first time is known by
-// then: both are read from the store, one after the other.
-constexpr Duration kOrderTellsWithin = std::chrono::milliseconds(1000);
-// Targets that share what a version gets on trial, at the least.
-constexpr std::size_t kLeastPartTakers = 2;
-
-// What candidates are compared by, in this order; the least is chosen.
-struct Merit {
+// Peers are notified of a prompt that keeps its engine busy for this fraction
+// of the pause that streams may make; a shorter time is no reason to choose
+// another engine.
+constexpr double kReportedPauseShare = 0.1;
+// Bound in milliseconds on the busy time from reports of peers, so that they
+// never exclude an engine for long.
+constexpr double kMaxPeerBusyMs = 3000;
+
+// A rate limit that was last confirmed this long ago is probed again. This is
+// well within the span over which limits are kept, so that a limit that has
+// ended costs its target little.
+constexpr Duration kProbeAfter = std::chrono::seconds(2);
+
+// When a version is listed for the first time, the operators' order on it is
+// known within this time: both are read from the store, one after the other.
+constexpr Duration kOrderKnownWithin = std::chrono::milliseconds(1000);
+// Minimum number of targets that serve the share of the next version.
+constexpr std::size_t kMinShareTargets = 2;
+
+// Candidates are compared by these members in this order; the least is chosen.
+struct Rank {
   bool is_ejected = false;
-  bool is_not_due = false;
+  bool is_no_probe_due = false;
   double cost_ms = 0;
 
-  auto operator<=>(const Merit&) const = default;
+  auto operator<=>(const Rank&) const = default;
 };
 
 Duration FromMs(double ms) {
@@ -76,7 +72,8 @@
   return std::chrono::duration<double, std::milli>(d).count();
 }
 
-// The deepest part that other requests may share; the last is its own.
+// The deepest part that other requests may share. The last part belongs to its
+// request alone.
 std::optional<std::uint64_t> DeepestSharedPart(
     const PlacementRequest& request) {
   if (request.parts.size() < 2) return std::nullopt;
@@ -84,7 +81,7 @@
 }
 
 // Tokens of the prompt that an engine has to prefill. The preferred target is
-// taken to have all shared parts, whoever sent them.
+// assumed to have all shared parts, including those sent by other routers.
 Tokens PrefillTokens(const PrefixCache& prefixes,
                      const PlacementRequest& request, bool is_preferred) {
   const Tokens cached = is_preferred ? SharedTokens(request.parts)
@@ -102,11 +99,11 @@
     const auto [it, is_new] = targets_.try_emplace(name);
     State& state = it->second;
     const bool restarted = !is_new && state.entry.start != entry.start;
-    const bool told = is_new || state.entry.cold_for != entry.cold_for;
-    // Another start holds nothing and runs nothing of what is known here.
+    const bool cold_changed = is_new || state.entry.cold_for != entry.cold_for;
+    // Nothing that is known of the previous start is true of the new one.
     if (restarted) {
-      rate_limits_.OnStartedAgain(now, state.entry.start, entry.start);
-      back_offs_.OnStartedAgain(now, state.entry.start, entry.start);
+      rate_limits_.OnRestart(now, state.entry.start, entry.start);
+      back_offs_.OnRestart(now, state.entry.start, entry.start);
       state = State{};
     }
     const bool other_version =
@@ -114,22 +111,26 @@
     state.entry = entry;
     if (other_version) NoteVersion(now, state);
     state.region = regions_.RegionOf(entry.hall);
-    if (is_new || restarted) Begin(now, entry, state);
+    if (is_new || restarted) RestoreLimits(now, entry, state);
     state.hall_closed = closed_halls_.contains(entry.hall);
-    if (told) state.warmth.OnCold(now, entry.cold_for, ColdSign::kEntry);
+    if (cold_changed)
+      state.warmth.OnCold(now, entry.cold_for, ColdSign::kEntry);
     if (restarted) {
-      state.warmth.OnCold(now, RuleOf(entry.service).start, ColdSign::kStart);
+      state.warmth.OnCold(now, RuleOf(entry.service).cold_time,
+                          ColdSign::kStart);
     }
   }
-  for (const auto& [service, gate] : gates_) ChoosePartTakers(service);
+  for (const auto& [service, gate] : gates_) ChooseShareTargets(service);
 }
 
-void Placement::Begin(Instant now, const TargetEntry& entry, State& state) {
+void Placement::RestoreLimits(Instant now, const TargetEntry& entry,
+                              State& state) {
   state.limit_per_s = rate_limits_.LimitOf(entry.start);
   state.pause_until = back_offs_.EndOf(entry.start);
-  const auto said = said_leaving_.find(entry.name);
-  if (said == said_leaving_.end() || said->second.start == entry.start) return;
-  const Instant until = said->second.at + kEntryTellsWithin;
+  const auto notice = leaving_notices_.find(entry.name);
+  if (notice == leaving_notices_.end() || notice->second.start == entry.start)
+    return;
+  const Instant until = notice->second.at + kEntryTellsWithin;
   if (until > now) state.pause_until = std::max(state.pause_until, until);
 }
 
@@ -139,7 +140,7 @@
     const bool was_closed = state.hall_closed;
     state.hall_closed = closed_halls_.contains(state.entry.hall);
     if (!was_closed || state.hall_closed) continue;
-    state.warmth.OnCold(now, RuleOf(state.entry.service).start,
+    state.warmth.OnCold(now, RuleOf(state.entry.service).cold_time,
                         ColdSign::kHallOpen);
   }
 }
@@ -152,14 +153,15 @@
   return it == cold_rules_.end() ? kNone : it->second;
 }
 
-void Placement::SetPlaces(PlaceOf place_of) {
-  place_of_ = std::move(place_of);
+void Placement::SetPlaces(PlaceLookup place_of) {
+  place_lookup_ = std::move(place_of);
   for (auto& [name, state] : targets_) state.place.reset();
 }
 
-const std::optional<RendezvousPlace>& Placement::OwnPlace(
+const std::optional<RendezvousPlace>& Placement::LocalPlace(
     const State& state) const {
-  if (!state.place && place_of_) state.place = place_of_(state.entry.start);
+  if (!state.place && place_lookup_)
+    state.place = place_lookup_(state.entry.start);
   return state.place;
 }
 
@@ -168,10 +170,10 @@
 }
 
 bool Placement::MaySendCold(Instant now, const State& state) const {
-  const auto& place = OwnPlace(state);
+  const auto& place = LocalPlace(state);
   if (!place) return false;
-  const OwnerPart part =
-      rates_.cold.PartOf(RuleOf(state.entry.service).per_s, place->routers);
+  const OwnerShare part =
+      rates_.cold.ShareOf(RuleOf(state.entry.service).per_s, place->routers);
   return part.IsOwner(*place) &&
          rates_.cold.MaySend(now, state.entry.start, part);
 }
@@ -185,18 +187,18 @@
 // --- Rate limits -------------------------------------------------------------
 
 bool Placement::MaySendLimited(Instant now, const State& state) const {
-  const auto& place = OwnPlace(state);
+  const auto& place = LocalPlace(state);
   if (!place) return false;
   const TargetStart& start = state.entry.start;
-  const OwnerPart part =
-      rates_.limited.PartOf(*state.limit_per_s, place->routers);
-  return part.Acts(*place, now - rate_limits_.HeardAt(start)) &&
+  const OwnerShare part =
+      rates_.limited.ShareOf(*state.limit_per_s, place->routers);
+  return part.IsActive(*place, now - rate_limits_.ConfirmedAt(start)) &&
          rates_.limited.MaySend(now, start, part.For(*place));
 }
 
-bool Placement::IsDue(Instant now, const State& state) const {
+bool Placement::IsProbeDue(Instant now, const State& state) const {
   if (!state.limit_per_s) return false;
-  return now - rate_limits_.HeardAt(state.entry.start) >= kAskAgainAfter;
+  return now - rate_limits_.ConfirmedAt(state.entry.start) >= kProbeAfter;
 }
 
 void Placement::NoteLimit(const TargetStart& target) {
@@ -207,12 +209,12 @@
 }
 
 bool Placement::OnRate(Instant now, const TargetStart& target, Instant sent_at,
-                       const RateStatement& said) {
+                       const RateStatement& statement) {
   bool changed = false;
-  if (said.per_s) {
-    changed = rate_limits_.OnNamed(now, target, sent_at, *said.per_s);
-  } else if (said.is_unlimited) {
-    changed = rate_limits_.OnNotNamed(now, target, sent_at);
+  if (statement.per_s) {
+    changed = rate_limits_.OnLimit(now, target, sent_at, *statement.per_s);
+  } else if (statement.is_unlimited) {
+    changed = rate_limits_.OnNoLimit(now, target, sent_at);
   }
   if (changed) NoteLimit(target);
   return changed;
@@ -241,19 +243,19 @@
 }
 
 void Placement::OnSaysLeaving(Instant now, const TargetEntry& target) {
-  std::erase_if(said_leaving_, [now](const auto& it) {
+  std::erase_if(leaving_notices_, [now](const auto& it) {
     return now - it.second.at >= kEntryTellsWithin;
   });
-  said_leaving_[target.name] = {target.start, now};
+  leaving_notices_[target.name] = {target.start, now};
 }
 
-// --- What targets show -------------------------------------------------------
+// --- Observations of targets -------------------------------------------------
 
 void Placement::OnAlive(Instant now, const TargetName& name, Instant sent_at) {
   const auto it = targets_.find(name);
   if (it == targets_.end()) return;
   State& state = it->second;
-  state.warmth.OnAlive(now, sent_at, RuleOf(state.entry.service).start);
+  state.warmth.OnAlive(now, sent_at, RuleOf(state.entry.service).cold_time);
 }
 
 void Placement::OnConnectionsLost(Instant now, const std::string& address) {
@@ -273,9 +275,9 @@
   std::vector<ColdChange> out;
   for (auto& [name, state] : targets_) {
     const bool cold = IsCold(now, state);
-    if (cold == state.told_cold) continue;
-    state.told_cold = cold;
-    out.push_back({name, cold, state.warmth.sign()});
+    if (cold == state.reported_cold) continue;
+    state.reported_cold = cold;
+    out.push_back({name, cold, state.warmth.reason()});
   }
   return out;
 }
@@ -301,7 +303,7 @@
 
 bool Placement::IsOpenToWork(const TargetEntry& target) const {
   const State* state = Find(target);
-  return state != nullptr && TakesWork(*state);
+  return state != nullptr && AcceptsWork(*state);
 }
 
 bool Placement::MayStillSend(Instant now, const PlacementChoice& choice,
@@ -340,27 +342,27 @@
 bool Placement::IsOutsideResidency(const PlacementRequest& request) const {
   return std::any_of(targets_.begin(), targets_.end(), [&](const auto& it) {
     const State& state = it.second;
-    return state.entry.service == request.service && TakesWork(state) &&
+    return state.entry.service == request.service && AcceptsWork(state) &&
            !request.residency.Allows(state.region);
   });
 }
 
 const PrefillSpeed& Placement::SpeedOf(const ServiceName& service) const {
-  static const PrefillSpeed kFirstGuess;
+  static const PrefillSpeed kInitial;
   const auto it = speeds_.find(service);
-  return it == speeds_.end() ? kFirstGuess : it->second;
+  return it == speeds_.end() ? kInitial : it->second;
 }
 
 const Placement::State* Placement::PreferredTarget(
-    const Candidates& among) const {
-  const Instant now = among.now;
-  const auto part = DeepestSharedPart(among.request);
+    const ChoiceContext& context) const {
+  const Instant now = context.now;
+  const auto part = DeepestSharedPart(context.request);
   if (!part) return nullptr;
   const std::string key = std::to_string(*part);
   const State* out = nullptr;
   std::uint64_t best = 0;
   for (const auto& [name, state] : targets_) {
-    if (!among.Suits(state)) continue;
+    if (!context.IsCandidate(state)) continue;
     if (IsCold(now, state) || !MaySend(now, state)) continue;
     const std::uint64_t weight = RendezvousWeight(name.value, key);
     if (out != nullptr && weight <= best) continue;
@@ -379,16 +381,16 @@
 }
 
 void Placement::SetVersionRule(const ServiceName& service, VersionRule rule,
-                               double begin) {
-  gates_[service].SetRule(std::move(rule), begin);
-  ChoosePartTakers(service);
+                               double offset) {
+  gates_[service].SetRule(std::move(rule), offset);
+  ChooseShareTargets(service);
 }
 
 bool Placement::HasVersion(const ServiceName& service,
                            const VersionName& version) const {
   return std::any_of(targets_.begin(), targets_.end(), [&](const auto& it) {
     const State& state = it.second;
-    return state.entry.service == service && TakesWork(state) &&
+    return state.entry.service == service && AcceptsWork(state) &&
            state.entry.version == version;
   });
 }
@@ -404,7 +406,8 @@
   return out;
 }
 
-// All versions of a service's first list were there before this router.
+// All versions in the first list of a service existed before this router
+// started, so they need not wait.
 void Placement::NoteVersion(Instant now, State& state) {
   ServiceVersions& known = versions_[state.entry.service];
   if (known.since.empty()) known.first_listed_at = now;
@@ -415,21 +418,22 @@
   latest_version_ = std::max(latest_version_, it->second);
 }
 
-bool Placement::IsSettled(Instant now, const State& state,
-                          const VersionGate& gate) {
+bool Placement::IsVersionReady(Instant now, const State& state,
+                               const VersionGate& gate) {
   return gate.IsNext(state.entry.version) ||
-         now - kOrderTellsWithin >= state.version_since;
+         now - kOrderKnownWithin >= state.version_since;
 }
 
-bool Placement::HasSettled(Instant now, const PlacementRequest& request,
-                           const VersionGate& gate) const {
-  if (now - kOrderTellsWithin >= latest_version_) return false;
+bool Placement::HasReadyVersion(Instant now, const PlacementRequest& request,
+                                const VersionGate& gate) const {
+  if (now - kOrderKnownWithin >= latest_version_) return false;
   return std::any_of(targets_.begin(), targets_.end(), [&](const auto& it) {
-    return IsEligible(it.second, request) && IsSettled(now, it.second, gate);
+    return IsEligible(it.second, request) &&
+           IsVersionReady(now, it.second, gate);
   });
 }
 
-// A request that has met the next version goes on at the others.
+// A request that was already sent to the next version is retried at the others.
 VersionTurn Placement::TurnOf(const PlacementRequest& request,
                               const VersionGate& gate) const {
   const VersionTurn turn = gate.Turn();
@@ -448,19 +452,20 @@
   return std::none_of(targets_.begin(), targets_.end(), [&](const auto& it) {
     const State& state = it.second;
     return IsEligible(state, request) &&
-           gate.Takes(VersionTurn::kOthers, state.entry.version);
+           gate.MayTake(VersionTurn::kOthers, state.entry.version);
   });
 }
 
-// A version that gets a part of the requests gets it at that part of its
-// targets, so that they bear what the others do. All routers take the same.
-void Placement::ChoosePartTakers(const ServiceName& service) {
+// A version that gets a share of the requests gets it at the same share of
+// targets, so that each bears the same load as the other targets. All routers
+// choose the same targets.
+void Placement::ChooseShareTargets(const ServiceName& service) {
   const VersionGate& gate = GateOf(service);
   std::vector<std::pair<std::uint64_t, State*>> next;
   std::size_t others = 0;
   for (auto& [name, state] : targets_) {
-    if (state.entry.service != service || !TakesWork(state)) continue;
-    state.takes_part = false;
+    if (state.entry.service != service || !AcceptsWork(state)) continue;
+    state.serves_share = false;
     if (!gate.IsNext(state.entry.version)) {
       ++others;
       continue;
@@ -470,27 +475,28 @@
   }
   const auto wanted = static_cast<std::size_t>(
       std::lround(gate.rule().share * static_cast<double>(others)));
-  const std::size_t takers =
-      std::min(next.size(), std::max(kLeastPartTakers, wanted));
+  const std::size_t chosen =
+      std::min(next.size(), std::max(kMinShareTargets, wanted));
   std::sort(next.rbegin(), next.rend());
-  for (std::size_t n = 0; n < takers; ++n) next[n].second->takes_part = true;
+  for (std::size_t n = 0; n < chosen; ++n) next[n].second->serves_share = true;
 }
 
-double Placement::PeersMs(Instant now, const State& state) {
+double Placement::PeerPrefillMs(Instant now, const State& state) {
   return std::max(0.0, Milliseconds(state.peers_busy_until - now));
 }
 
-double Placement::FirstEventMs(const State& state, const Candidates& among) {
+double Placement::FirstEventMs(const State& state,
+                               const ChoiceContext& context) {
   const Tokens tokens =
-      state.prefill +
-      PrefillTokens(state.prefixes, among.request, among.IsPreferred(state));
-  return among.speed.FirstEventMs(tokens) + PeersMs(among.now, state);
+      state.prefill + PrefillTokens(state.prefixes, context.request,
+                                    context.IsPreferred(state));
+  return context.speed.FirstEventMs(tokens) + PeerPrefillMs(context.now, state);
 }
 
-double Placement::EngineMs(const State& state, const Candidates& among) {
-  double out = FirstEventMs(state, among);
+double Placement::EngineMs(const State& state, const ChoiceContext& context) {
+  double out = FirstEventMs(state, context);
   out += state.running * kPerRunningMs;
-  if (!among.IsPreferred(state)) out += kNotPreferredMs;
+  if (!context.IsPreferred(state)) out += kNotPreferredMs;
   return out;
 }
 
@@ -499,61 +505,62 @@
   return state.running / slots * kBaseAnswerMs;
 }
 
-double Placement::Cost(const State& state, const Candidates& among) const {
-  const double work = among.request.ForEngine()
-                          ? EngineMs(state, among)
+double Placement::Cost(const State& state, const ChoiceContext& context) const {
+  const double work = context.request.ForEngine()
+                          ? EngineMs(state, context)
                           : QueueMs(state) + kBaseAnswerMs;
   double out = work * state.slowness;
   if (state.entry.hall != hall_) out += kOtherHallMs;
-  out += state.health.FailureShare(among.now) * kFailureMs;
+  out += state.health.FailureShare(context.now) * kFailureMs;
   return out;
 }
 
-bool Placement::Candidates::Suits(const State& state) const {
+bool Placement::ChoiceContext::IsCandidate(const State& state) const {
   if (!IsEligible(state, request)) return false;
-  if (!gate.Takes(turn, state.entry.version)) return false;
-  const bool has_part = turn == VersionTurn::kNext && gate.rule().share < 1;
-  if (has_part && !state.takes_part) return false;
-  return !only_settled || IsSettled(now, state, gate);
+  if (!gate.MayTake(turn, state.entry.version)) return false;
+  const bool is_partial = turn == VersionTurn::kNext && gate.rule().share < 1;
+  if (is_partial && !state.serves_share) return false;
+  return !only_ready_versions || IsVersionReady(now, state, gate);
 }
 
 std::optional<PlacementChoice> Placement::Choose(
     Instant now, const PlacementRequest& request) const {
   const VersionGate& gate = GateOf(request.service);
-  Candidates among{now, request, SpeedOf(request.service), gate};
-  among.turn = TurnOf(request, gate);
-  among.only_settled = HasSettled(now, request, gate);
-  if (auto out = ChooseAmong(among)) return out;
-  if (among.turn == VersionTurn::kNext) {
-    among.turn = VersionTurn::kOthers;
+  ChoiceContext context{now, request, SpeedOf(request.service), gate};
+  context.turn = TurnOf(request, gate);
+  context.only_ready_versions = HasReadyVersion(now, request, gate);
+  if (auto out = ChooseIn(context)) return out;
+  if (context.turn == VersionTurn::kNext) {
+    context.turn = VersionTurn::kOthers;
   } else if (IsNextAlone(request, gate)) {
-    among.turn = VersionTurn::kAny;
+    context.turn = VersionTurn::kAny;
   } else {
     return std::nullopt;
   }
-  return ChooseAmong(among);
+  return ChooseIn(context);
 }
 
-std::optional<PlacementChoice> Placement::ChooseAmong(Candidates among) const {
-  const Instant now = among.now;
-  const PlacementRequest& request = among.request;
-  among.preferred = PreferredTarget(among);
+std::optional<PlacementChoice> Placement::ChooseIn(
+    ChoiceContext context) const {
+  const Instant now = context.now;
+  const PlacementRequest& request = context.request;
+  context.preferred = PreferredTarget(context);
   const State* best = nullptr;
-  Merit best_merit;
+  Rank best_rank;
   for (const auto& [name, state] : targets_) {
-    if (!among.Suits(state)) continue;
+    if (!context.IsCandidate(state)) continue;
     if (request.tried.contains(name)) continue;
     if (!MaySend(now, state)) continue;
-    const Merit merit{state.health.IsEjected(now), !IsDue(now, state),
-                      Cost(state, among)};
-    if (best != nullptr && !(merit < best_merit)) continue;
+    const Rank rank{state.health.IsEjected(now), !IsProbeDue(now, state),
+                    Cost(state, context)};
+    if (best != nullptr && !(rank < best_rank)) continue;
     best = &state;
-    best_merit = merit;
+    best_rank = rank;
   }
   if (best == nullptr) return std::nullopt;
-  PlacementChoice out{best->entry, best_merit.cost_ms,
-                      among.IsPreferred(*best)};
-  if (request.ForEngine()) out.first_event_ms = FirstEventMs(*best, among);
+  PlacementChoice out{best->entry, best_rank.cost_ms,
+                      context.IsPreferred(*best)};
+  if (request.ForEngine()) out.first_event_ms = FirstEventMs(*best, context);
   out.is_cold = IsCold(now, *best);
   out.is_limited = best->limit_per_s.has_value();
   return out;
@@ -579,18 +586,20 @@
 bool Placement::IsWorthTelling(const PlacementRequest& request,
                                Tokens prefill) const {
   const double ms = SpeedOf(request.service).PrefillMs(prefill);
-  return ms > Milliseconds(request.pause_limit) * kWorthTelling;
+  return ms > Milliseconds(request.pause_limit) * kReportedPauseShare;
 }
 
-// Engines prefill one prompt after the other, so the times add up. Nobody says
-// when a prompt is done or given up: the learned speed does.
+// Engines prefill one prompt after the other, so the times add up. No report
+// says when a prompt is done or given up; the time is estimated from the
+// learned speed.
 void Placement::OnPeerSent(Instant now, const TargetName& name,
                            Tokens prefill) {
   const auto it = targets_.find(name);
   if (it == targets_.end()) return;
   State& state = it->second;
   const double added = SpeedOf(state.entry.service).PrefillMs(prefill);
-  const double busy = std::min(PeersMs(now, state) + added, kLongestBusyMs);
+  const double busy =
+      std::min(PeerPrefillMs(now, state) + added, kMaxPeerBusyMs);
   state.peers_busy_until = now + FromMs(busy);
 }
 
@@ -600,7 +609,7 @@
   if (it == targets_.end()) return;
   State& state = it->second;
   PrefillSpeed& speed = speeds_[state.entry.service];
-  // At least a millisecond, as nothing comes in no time.
+  // At least a millisecond, to bound the ratio.
   const double expected = std::max(1.0, speed.FirstEventMs(state.prefill));
   const double ratio =
       std::clamp(Milliseconds(waited) / expected, 1.0, kMaxSlowness);
--- a/dispatch/placement.h
+++ b/dispatch/placement.h
@@ -1,4 +1,4 @@
-// Placement: which target of a service takes a request.
+// Placement: chooses the target of a service that gets a request.
 //
 //   Placement placement(hall);
 //   placement.SetTargets(entries);
@@ -8,23 +8,23 @@
 //   placement.OnAnswering(name, prefill, waited);     // a first event
 //   placement.OnEnded(now, name, 0, PlacementOutcome::kGood);
 //
-// The rule. Targets that may get no work (`TakesWork`: they are leaving, or
-// their hall is closed), those in a region where the request may not be
-// processed (base/residency.h) and those that had it before are out. So are
-// those that have asked this router for a pause (dispatch/back_off.h), and so
-// are cold ones and those that have named a rate limit
-// (dispatch/rate_limits.h), unless this router may send there
-// (dispatch/shared_rate.h); those compete like any other. While operators move
-// a service to another version, a request goes to targets of the version whose
-// turn it is (dispatch/version_gate.h); one that is listed for the first time
-// beside others waits a moment for operators' word on it, if others can serve.
-// But a target whose limit was last heard of a while ago comes first where this
-// router may send to it, since only an answer of it shows that its limit has
-// ended. Of the others, ejected ones (dispatch/outlier_ejection.h) are taken
-// only if all are ejected. Among equals the one with the lowest expected cost
-// is chosen, in milliseconds:
+// Rule. A target is excluded if it is leaving or its hall is closed
+// (`AcceptsWork`), if the request may not be processed in its region
+// (base/residency.h), or if it had the request before. It is also excluded
+// while a pause that it requested lasts (dispatch/back_off.h), and, if it is
+// cold or has announced a rate limit (dispatch/rate_limits.h), unless this
+// router may send there (dispatch/shared_rate.h); then it competes like any
+// other. While operators move a service to another version, a request goes to
+// targets of the version that is next (dispatch/version_gate.h). If others can
+// serve, a version that is listed for the first time beside others gets no
+// requests until an order of the operators about it would be known. A target
+// whose limit was last confirmed a while ago comes first if this router may
+// send to it, because only its answer can show that the limit has ended. Of the
+// others, ejected targets (dispatch/outlier_ejection.h) are used only if all
+// are ejected. Among equals, the target with the lowest expected cost in
+// milliseconds is chosen:
 //
-//   engines         (tokens to be prefilled there x time of each, as learned
+//   engines         (tokens to be prefilled there x learned time per token
 //                    (dispatch/prefill_speed.h)
 //                    + a charge for each running request
 //                    + a charge unless it is the preferred target
@@ -33,45 +33,45 @@
 //                    + base time) x slowness
 //   both            + a charge for another hall + failure share x its charge
 //
-// The charges, with their units and where they come from, stand at the top of
-// placement.cc. `relay_ended` of the log shows what decided: `target`, `home`
-// (whether it was the preferred target) and `expected_ms` (its cost).
+// The charges and their units are at the top of placement.cc. The log event
+// `relay_ended` shows what decided: `target`, `home` (whether it was the
+// preferred target) and `expected_ms` (its cost).
 //
-// Why tokens. An engine that has the prompt's shared parts in its prefix cache
-// prefills only the rest, and what it prefills holds up everything beside it.
-// "Tokens to be prefilled" are those of requests that were sent there and have
-// no answer yet, and those of this prompt that aren't cached there
+// Why tokens: an engine that has the shared parts of a prompt in its prefix
+// cache prefills only the rest, and each prefill delays everything else on that
+// engine. "Tokens to be prefilled" are those of requests that were sent there
+// and are not answered yet, plus those of this prompt that are not cached there
 // (dispatch/prefix_cache.h).
 //
-// Why peers are told. A router sends an engine a fraction of its prompts, so it
-// doesn't see most of what a prompt would wait behind. In a fleet where all are
-// linked, each tells the others of a prompt that keeps an engine busy, and they
-// charge the time until it is done. It bought 0.006 to 0.011 of what callers
-// are owed on days with trouble; telling the cached parts as well bought
-// nothing, so they aren't told. With it goes the learned speed (0.008 to 0.019
-// against a fixed one of 50 tokens in a millisecond, on engines that prefill
-// 32).
+// Why peers are notified: a router sends an engine only a fraction of its
+// prompts, so it does not see most of what a prompt would wait behind. In a
+// fleet where all routers are linked, each notifies the others of a prompt that
+// keeps an engine busy, and they charge the time until it is done. This gained
+// 0.006 to 0.011 of what callers are owed on days with trouble. Cached parts
+// are not reported, because that gained nothing. The learned speed is part of
+// this; it gained 0.008 to 0.019 over a fixed speed of 50 tokens in a
+// millisecond on engines that prefill 32.
 //
-// Not done: engines of their own for long prompts. It served a tenth more short
-// prompts in time and a twentieth fewer long ones, which are the more urgent
+// Not done: dedicated engines for long prompts. It served a tenth more short
+// prompts in time but a twentieth fewer long ones, which are more urgent
 // (docs/policy/).
 //
-// Why a preferred target. What an engine has cached is known only for this
-// router's own requests. To make routers agree without talking, the prompt's
+// Why a preferred target: a router knows only what its own requests left in an
+// engine's cache. To make routers agree without communication, the prompt's
 // deepest shared part has a preferred target: the first in a rendezvous order
 // (Thaler and Ravishankar 1998) of the warm targets that may get work. It is
-// taken to have all shared parts. Under load, waiting there costs more than
-// prefilling the parts elsewhere, so the load of one target is bounded, as in
-// consistent hashing with bounded loads (Mirrokni et al. 2018).
+// assumed to have all shared parts cached. Under load, waiting there costs more
+// than prefilling the parts elsewhere, so the load of one target is bounded, as
+// in consistent hashing with bounded loads (Mirrokni et al. 2018).
 //
-// It owns what this router knows of each target, and relies on the list of
-// targets (fleet/target_registry.h) and on being told of each send and each
-// end. A target that is no longer listed is forgotten; reports on it are
-// ignored. Nothing here fails: the one bad answer is that there is no target.
+// Owns what this router knows of each target. Relies on the list of targets
+// (fleet/target_registry.h) and on notification of each send and each end. A
+// target that is no longer listed is forgotten; reports on it are ignored.
+// Nothing here fails; the only negative result is that there is no target.
 //
-// `quaytrack router` chooses by route/target_book.h. That is another decision:
-// its targets report their load, there are many of them, and it samples a few;
-// here no target reports anything, and all are compared.
+// `quaytrack router` uses route/target_book.h instead: its targets report their
+// load, there are many of them, and it samples a few. Here targets report no
+// load, and all are compared.
 
 #ifndef QUAYTRACK_DISPATCH_PLACEMENT_H_
 #define QUAYTRACK_DISPATCH_PLACEMENT_H_
@@ -101,15 +101,16 @@
 
 namespace quaytrack {
 
-// How a service's targets bear requests after a start.
+// How the targets of a service behave after a start.
 struct ColdRule {
-  // How long one stays cold.
-  Duration start{};
-  // Requests a second that a cold one bears; 0 if nothing is known to bound it.
+  // How long a target stays cold.
+  Duration cold_time{};
+  // Requests a second that a cold target can handle; 0 if no bound is known.
   double per_s = 0;
 };
 
-// What all routers together may send to targets that take few requests.
+// Bounds on what all routers together may send to cold targets and to targets
+// with a rate limit.
 struct PlacementRates {
   SharedRate cold{Instant{}, RateAllowance{}};
   SharedRate limited{Instant{}, RateAllowance{}};
@@ -120,256 +121,263 @@
   // Empty for services other than engines.
   std::vector<PromptPart> parts;
   Tokens prompt_tokens = 0;
-  // The longest pause between events of an answer in time; no limit if 0.
+  // The longest pause between events with which an answer is in time; 0 means
+  // no limit.
   Duration pause_limit{};
-  // Where it may be processed.
+  // Where the request may be processed.
   Residency residency;
-  // Targets that must not be chosen, as they have had the request.
+  // Targets that had the request and must not be chosen again.
   std::set<TargetName> tried;
 
   bool ForEngine() const { return prompt_tokens > 0; }
 };
 
-// How a request ended at a target, as far as it speaks for or against it.
+// How a request ended at a target, as far as this shows whether the target is
+// healthy.
 enum class PlacementOutcome {
   kGood,
-  kFailed,      // no answer, or none that counts: it may have ended
-  kTurnedAway,  // refused for lack of room; counts as a failure
-  kNeutral,     // says nothing about the target
+  kFailed,      // no valid answer; the target may have ended
+  kTurnedAway,  // refused for lack of capacity; counts as a failure
+  kNeutral,     // shows nothing about the target
 };
 
-// A target, and what decided for it.
+// A chosen target, and why it was chosen.
 struct PlacementChoice {
   TargetEntry target;
-  // Milliseconds.
   double cost_ms = 0;
-  // It is the preferred target of the prompt's deepest shared part.
+  // The target is preferred for the prompt's deepest shared part.
   bool is_preferred = false;
-  // Milliseconds until the first event is expected; 0 where no engine is asked.
+  // Expected time until the first event; 0 for services other than engines.
   double first_event_ms = 0;
-  // It is cold, or has a rate limit, and this router may send there.
+  // The target is cold, or has a rate limit, and this router may send there.
   bool is_cold = false;
   bool is_limited = false;
 };
 
 class Placement {
  public:
-  // `hall` is the one that this router is in.
+  // `hall` is the hall of this router.
   explicit Placement(HallName hall, PlacementRates rates = {},
                      HallRegions regions = {})
       : hall_(std::move(hall)),
         regions_(std::move(regions)),
         rates_(std::move(rates)) {}
 
-  // What is known of a target that stays is kept; of one that has started again
-  // nothing is, but that it is cold. `now` is when `entries` were read.
+  // Keeps what is known of targets that stay. Of a target that has restarted,
+  // it keeps only that it is cold, and a recent rate limit or pause. `now` is
+  // when `entries` were read.
   void SetTargets(Instant now,
                   const std::map<TargetName, TargetEntry>& entries);
 
-  // Halls that are closed to new work (fleet/closed_halls.h). The targets of
-  // one that is opened again count as cold, since they had nothing to do.
+  // Halls that are closed to new work (fleet/closed_halls.h). The targets of a
+  // hall that is reopened count as cold, because they were idle.
   void SetClosedHalls(Instant now, std::set<HallName> halls);
 
-  // How cold targets bear requests, by service; without a rule they do like
-  // warm ones.
+  // How targets behave while cold, by service. Without a rule they are treated
+  // like warm ones.
   void SetColdRules(std::map<ServiceName, ColdRule> rules) {
     cold_rules_ = std::move(rules);
   }
-  // How a service moves to another version. `begin` in [0, 1) is where this
-  // router begins to count.
+  // How a service moves to another version. `offset` in [0, 1) is the initial
+  // value of the count of this router (dispatch/version_gate.h).
   void SetVersionRule(const ServiceName& service, VersionRule rule,
-                      double begin);
-  // Whether some target of that version may get work.
+                      double offset);
+  // Whether some target of the version may get work.
   bool HasVersion(const ServiceName& service, const VersionName& version) const;
-  // Requests of this router that run at other versions of the service.
+  // This router's requests that run at other versions of the service.
   std::size_t RunningElsewhere(const ServiceName& service,
                                const VersionName& version) const;
 
-  // This router's place among those that send to a target which takes few
-  // requests; nothing if it isn't known. Asked again after each call of this.
-  using PlaceOf =
+  // The place of this router in the rendezvous order of a target that accepts
+  // few requests; std::nullopt if it is not known. `SetPlaceLookup` discards
+  // the places that were looked up before.
+  using PlaceLookup =
       std::function<std::optional<RendezvousPlace>(const TargetStart&)>;
-  void SetPlaces(PlaceOf place_of);
+  void SetPlaces(PlaceLookup place_lookup);
 
-  // Whether anything further may be sent to a target: it is listed as that
-  // start, isn't leaving, and its hall isn't closed. Every rule that keeps work
-  // from a target for good stands here.
+  // Whether further requests may be sent to a target: this start of it is
+  // listed, it is not leaving, and its hall is not closed. Every rule that
+  // keeps work from a target permanently belongs here.
   bool IsOpenToWork(const TargetEntry& target) const;
-  // Whether a request may still be sent as it was chosen: asked again just
-  // before its bytes are written, if it had to wait for its connection.
+  // Whether a request may still be sent as it was chosen. Checked again just
+  // before its bytes are written if it had to wait for its connection.
   bool MayStillSend(Instant now, const PlacementChoice& choice,
                     const PlacementRequest& request) const;
 
-  // Whether it is there as that start. What a request learns of another one,
-  // which has ended, says nothing of it.
+  // Whether this start of the target is listed. What a request learns of an
+  // earlier start, which has ended, does not apply to the current one.
   bool IsListed(const TargetEntry& target) const;
 
-  // Nothing if no target of the service may get work, but for those tried. It
-  // costs one hash and one comparison for each target.
+  // std::nullopt if no target of the service may get the request. Costs one
+  // hash and one comparison for each target.
   std::optional<PlacementChoice> Choose(Instant now,
                                         const PlacementRequest& request) const;
 
-  // Why there is no choice. Whether some target could get the request, and is
-  // cold.
+  // The next four functions explain why there is no choice. Some target could
+  // get the request, but is cold.
   bool HasCold(Instant now, const PlacementRequest& request) const;
-  // The same, and has a rate limit or has asked for a pause.
+  // Some target could get the request, but has a rate limit or has asked for a
+  // pause.
   bool HasLimited(Instant now, const PlacementRequest& request) const;
-  // Whether some target could get the request if its hall weren't closed.
+  // Some target could get the request if its hall were not closed.
   bool IsClosedOff(const PlacementRequest& request) const;
-  // The same if the request were not bound to regions.
+  // Some target could get the request if it were not bound to regions.
   bool IsOutsideResidency(const PlacementRequest& request) const;
 
   // Returns the tokens that the target is expected to prefill for the request;
-  // 0 for services other than engines. `is_preferred` is as `Choose` found it.
+  // 0 for services other than engines. `is_preferred` is from `Choose`.
   Tokens OnSent(Instant now, const TargetName& name,
                 const PlacementRequest& request, bool is_preferred);
   // The answer began `waited` after the send, so the prompt has been prefilled.
-  // `prefill` is what OnSent returned.
+  // `prefill` is the result of OnSent.
   void OnAnswering(const TargetName& name, Tokens prefill, Duration waited);
   // The target has answered a request that was sent at `sent_at`.
   void OnAlive(Instant now, const TargetName& name, Instant sent_at);
-  // Whoever is at the address has ended connections for no reason that is
-  // known.
+  // Connections to the address were closed for no known reason.
   void OnConnectionsLost(Instant now, const std::string& address);
-  // The target says that it stays cold for so long.
+  // The target has announced that it stays cold for `remaining`.
   void OnCold(Instant now, const TargetName& name, Duration remaining);
-  // The target wants nothing from this router for so long.
+  // The target has asked this router to pause for `wait`.
   void OnBackOff(Instant now, const TargetStart& target, Duration wait);
-  // The target has said in an answer that it leaves. Its next start is left
-  // alone until that answer can't have been one of the next start.
+  // The target has announced in an answer that it is leaving. That answer may
+  // have come from its next start, so the next start gets no requests until
+  // `kEntryTellsWithin` has passed.
   void OnSaysLeaving(Instant now, const TargetEntry& target);
-  // What an answer to a request that was sent at `sent_at` says of its target's
-  // rate limit. Returns whether the limit has changed.
+  // What an answer to a request that was sent at `sent_at` states about the
+  // rate limit of its target. Returns whether the limit has changed.
   bool OnRate(Instant now, const TargetStart& target, Instant sent_at,
-              const RateStatement& said);
-  // What a peer knows of rate limits. Returns the targets whose limit has
-  // changed.
+              const RateStatement& statement);
+  // Takes the rate limits that a peer knows. Returns the targets whose limit
+  // has changed.
   std::vector<TargetStart> OnRateReports(Instant now,
                                          const RateReports& reports);
-  // For the peers (dispatch/rate_limits.h).
+  // Reports for the peers (dispatch/rate_limits.h).
   RateReports TakeUntoldRates(Instant now, bool forwards) {
-    return rate_limits_.TakeUntold(now, forwards);
+    return rate_limits_.TakeUnreported(now, forwards);
   }
   const RateLimits& rate_limits() const { return rate_limits_; }
-  // `prefill` is what OnSent returned, or 0 after OnAnswering.
+  // `prefill` is the result of OnSent, or 0 after OnAnswering.
   void OnEnded(Instant now, const TargetName& name, Tokens prefill,
                PlacementOutcome outcome);
 
-  // A peer sent a prompt there, of which `prefill` tokens aren't cached.
+  // A peer sent the target a prompt of which `prefill` tokens are not cached.
   void OnPeerSent(Instant now, const TargetName& name, Tokens prefill);
-  // Whether peers should hear of a prompt of which `prefill` tokens aren't
-  // cached: it keeps an engine busy for a time that matters to others.
+  // Whether to notify peers of a prompt of which `prefill` tokens are not
+  // cached: whether it keeps an engine busy for a time that matters to others.
   bool IsWorthTelling(const PlacementRequest& request, Tokens prefill) const;
 
-  // Targets that have become cold or warm since this was last called.
+  // Targets that have become cold or warm since the last call.
   struct ColdChange {
     TargetName target;
     bool cold = false;
     ColdSign sign = ColdSign::kEntry;
   };
   std::vector<ColdChange> ColdChanges(Instant now);
-  // Targets that are cold.
+  // Number of targets that are cold.
   std::size_t cold(Instant now) const;
 
-  // How fast the engines of each service prefill, for the peers; and what a
-  // peer has learned, which a router takes that has seen too little itself.
+  // The learned prefill speeds by service, to be sent to peers. A router that
+  // has seen too few answers itself uses those of a peer.
   using Speeds = std::map<ServiceName, SpeedLine>;
   Speeds Learned() const;
   void SetPeerSpeeds(const Speeds& speeds);
 
  private:
-  // One target, as this router knows it.
+  // What this router knows of one target.
   struct State {
     TargetEntry entry;
-    // Of its hall; empty if it isn't known.
+    // Region of its hall; empty if unknown.
     RegionName region;
     bool hall_closed = false;
     // When its version was first listed.
     Instant version_since = Instant::min();
-    // Gets requests of a version that has only a part of them.
-    bool takes_part = false;
+    // Is one of the targets of the next version that get its share of the
+    // requests.
+    bool serves_share = false;
     TargetWarmth warmth;
-    // As `ColdChanges` last told.
-    bool told_cold = false;
-    // Of this start; asked for when it is needed.
+    // As `ColdChanges` last reported.
+    bool reported_cold = false;
+    // For this start; looked up when it is needed.
     mutable std::optional<RendezvousPlace> place;
-    // This router sends it nothing before.
+    // This router sends it no requests before this time.
     Instant pause_until{};
-    // As `RateLimits` knows it.
+    // From `rate_limits_`.
     std::optional<double> limit_per_s;
-    // Requests of this router that are running there.
+    // This router's requests that are running there.
     int running = 0;
-    // Tokens that the target still has to prefill for them.
+    // Tokens that it still has to prefill for them.
     Tokens prefill = 0;
-    // Until when it prefills what peers sent.
+    // When it will have prefilled what peers sent.
     Instant peers_busy_until{};
-    // Times of answers over the expected ones, smoothed; 1 or more.
+    // Ratio of actual to expected answer times, smoothed; 1 or more.
     double slowness = 1;
     OutlierEjection health;
     PrefixCache prefixes;
   };
 
-  // What one choice compares its candidates by; looked up once for all.
-  struct Candidates {
+  // What one choice needs to compare targets; looked up once for all.
+  struct ChoiceContext {
     Instant now{};
     const PlacementRequest& request;
     const PrefillSpeed& speed;
     const VersionGate& gate;
     VersionTurn turn = VersionTurn::kAny;
-    // Targets of versions that were listed a moment ago are left out.
-    bool only_settled = false;
+    // Leaves out targets of versions that were listed a moment ago.
+    bool only_ready_versions = false;
     const State* preferred = nullptr;
 
     bool IsPreferred(const State& state) const { return &state == preferred; }
-    bool Suits(const State& state) const;
+    bool IsCandidate(const State& state) const;
   };
 
-  static bool TakesWork(const State& state) {
+  static bool AcceptsWork(const State& state) {
     return !state.entry.leaving && !state.hall_closed;
   }
-  // Whether the request could ever go there, as things are.
+  // Whether the request could go there in the present state of targets and
+  // halls.
   static bool IsEligible(const State& state, const PlacementRequest& request) {
-    return state.entry.service == request.service && TakesWork(state) &&
+    return state.entry.service == request.service && AcceptsWork(state) &&
            request.residency.Allows(state.region);
   }
-  // Null if the target isn't listed as that start.
+  // Null if this start of the target is not listed.
   const State* Find(const TargetEntry& target) const;
   bool IsCold(Instant now, const State& state) const;
-  const std::optional<RendezvousPlace>& OwnPlace(const State& state) const;
+  const std::optional<RendezvousPlace>& LocalPlace(const State& state) const;
   bool MaySendCold(Instant now, const State& state) const;
   bool MaySendLimited(Instant now, const State& state) const;
-  // As far as it takes few requests.
+  // Checks the pause, cold and limit rules together.
   bool MaySend(Instant now, const State& state) const;
-  bool IsDue(Instant now, const State& state) const;
-  // A target that is listed, in this start, for the first time, or again.
-  void Begin(Instant now, const TargetEntry& entry, State& state);
-  // After a change in `rate_limits_`.
+  bool IsProbeDue(Instant now, const State& state) const;
+  // Restores the known limit and pauses of a target that is listed for the
+  // first time in this start, or again.
+  void RestoreLimits(Instant now, const TargetEntry& entry, State& state);
+  // Copies a changed limit from `rate_limits_`.
   void NoteLimit(const TargetStart& target);
-  // One that isn't listed has none.
+  // The default rule if the service has none.
   const ColdRule& RuleOf(const ServiceName& service) const;
-  // Of a service without answers, the first guess or what peers have learned.
+  // For a service without answers, the initial values or those of peers.
   const PrefillSpeed& SpeedOf(const ServiceName& service) const;
-  static double FirstEventMs(const State& state, const Candidates& among);
-  static double EngineMs(const State& state, const Candidates& among);
-  // Until what peers sent there is prefilled; 0 or more.
-  static double PeersMs(Instant now, const State& state);
+  static double FirstEventMs(const State& state, const ChoiceContext& context);
+  static double EngineMs(const State& state, const ChoiceContext& context);
+  // Milliseconds until what peers sent there is prefilled; 0 or more.
+  static double PeerPrefillMs(Instant now, const State& state);
   static double QueueMs(const State& state);
-  double Cost(const State& state, const Candidates& among) const;
-  const State* PreferredTarget(const Candidates& among) const;
-  std::optional<PlacementChoice> ChooseAmong(Candidates among) const;
+  double Cost(const State& state, const ChoiceContext& context) const;
+  const State* PreferredTarget(const ChoiceContext& context) const;
+  std::optional<PlacementChoice> ChooseIn(ChoiceContext context) const;
 
   // Versions.
   const VersionGate& GateOf(const ServiceName& service) const;
-  static bool IsSettled(Instant now, const State& state,
-                        const VersionGate& gate);
-  bool HasSettled(Instant now, const PlacementRequest& request,
-                  const VersionGate& gate) const;
+  static bool IsVersionReady(Instant now, const State& state,
+                             const VersionGate& gate);
+  bool HasReadyVersion(Instant now, const PlacementRequest& request,
+                       const VersionGate& gate) const;
   VersionTurn TurnOf(const PlacementRequest& request,
                      const VersionGate& gate) const;
   bool IsNextAlone(const PlacementRequest& request,
                    const VersionGate& gate) const;
   void NoteVersion(Instant now, State& state);
-  void ChoosePartTakers(const ServiceName& service);
+  void ChooseShareTargets(const ServiceName& service);
 
   HallName hall_;
   HallRegions regions_;
@@ -379,14 +387,14 @@
   PlacementRates rates_;
   RateLimits rate_limits_;
   BackOffs back_offs_;
-  // By name; of what was said in the last `kEntryTellsWithin`.
-  struct SaidLeaving {
+  // By name; only those of the last `kEntryTellsWithin`.
+  struct LeavingNotice {
     TargetStart start;
     Instant at{};
   };
-  std::map<TargetName, SaidLeaving> said_leaving_;
-  // Nobody owns a target before it is set.
-  PlaceOf place_of_;
+  std::map<TargetName, LeavingNotice> leaving_notices_;
+  // This router owns no target before it is set.
+  PlaceLookup place_lookup_;
   std::map<ServiceName, VersionGate> gates_;
   // When each version of a service was first listed.
   struct ServiceVersions {
@@ -394,9 +402,9 @@
     std::map<VersionName, Instant> since;
   };
   std::map<ServiceName, ServiceVersions> versions_;
-  // The latest of these.
+  // The latest of those times.
   Instant latest_version_ = Instant::min();
-  // One entry for each service of which answers or peers have told.
+  // One entry for each service with speeds from answers or peers.
   std::map<ServiceName, PrefillSpeed> speeds_;
 };
 
--- a/dispatch/prefill_speed.h
+++ b/dispatch/prefill_speed.h
@@ -1,30 +1,28 @@
-// PrefillSpeed: how long the engines of a service take to a first event, as
-// this router sees it.
+// PrefillSpeed: estimates how long the engines of a service take to the first
+// event of an answer.
 //
 //   PrefillSpeed speed;
-//   speed.OnFirstEvent(tokens, waited_ms);      // an answer has begun
-//   const double ms = speed.PrefillMs(tokens);  // the engine is busy
+//   speed.OnFirstEvent(tokens, waited_ms);      // first event received
+//   const double ms = speed.PrefillMs(tokens);  // busy time of the engine
 //   const double wait = speed.FirstEventMs(tokens);
 //
-// Pattern. Engines of one deployment prefill 20 tokens in a millisecond, those
-// of another 50, and nobody tells a router. What it compares depends on it:
-// whether an engine that has a prompt's parts cached is worth waiting for, and
-// how long an engine is busy with what peers sent there.
+// Engines of one deployment prefill 20 tokens in a millisecond, those of
+// another 50, and no setting gives a router this speed. Placement needs it to
+// decide whether to wait for an engine that has parts of the prompt cached, and
+// to estimate how long prompts sent by peers keep an engine busy.
 //
-// The estimate. A line through what was seen: the wait for a first event over
-// the tokens that this router knew to be ahead of it, by least squares in which
-// older answers fade. What others send is not known; it adds to the waits
-// alike, whatever the size of the prompt, so it raises the line and hardly
-// turns it.
+// Estimate: a line fitted by least squares to the wait for the first event over
+// the tokens that this router knew to be ahead of it. Older answers lose
+// weight. Prompts of other routers are unknown; they add to the waits whatever
+// the size of the prompt, so they raise the line but hardly change its slope.
 //
-// Robust by bounds. Until `kLeastAnswers` have come the first guess holds. A
-// wait counts for at most `kMostOfExpected` times what was expected, so that a
-// dead engine, a cut or a frozen router moves the line little, and an engine
-// that has turned slow moves it in several answers. Speed and base stay within
-// fixed bounds whatever is reported.
+// Bounds: the initial values apply until `kMinAnswers` answers were received. A
+// wait counts for at most `kMaxWaitFactor` times the expected wait. A dead
+// engine, a network cut or a frozen router therefore moves the line little, and
+// an engine that has become slow moves it within several answers. Speed and
+// base stay within fixed bounds whatever is reported.
 //
-// It owns a few sums, and relies on nothing; there is no time in it, as it
-// fades by answers.
+// Owns a few sums. It uses no time: weights decay by answers.
 
 #ifndef QUAYTRACK_DISPATCH_PREFILL_SPEED_H_
 #define QUAYTRACK_DISPATCH_PREFILL_SPEED_H_
@@ -33,52 +31,52 @@
 
 namespace quaytrack {
 
-// A line through waits over tokens.
+// A line: wait in milliseconds over tokens.
 struct SpeedLine {
   double ms_per_token = 0;
   double base_ms = 0;
-  // How many answers it was fitted to; older ones count less.
+  // Number of answers it was fitted to, with decayed weights.
   double answers = 0;
 };
 
 class PrefillSpeed {
  public:
-  // `tokens` had to be prefilled until the first event, which came after
-  // `waited_ms` milliseconds.
+  // `tokens` had to be prefilled before the first event, which was received
+  // after `waited_ms` milliseconds.
   void OnFirstEvent(Tokens tokens, double waited_ms);
 
-  // What a peer has learned. It is taken for the first guess by a router that
-  // has seen too little itself.
+  // Takes the estimate of a peer as the initial values, unless this router has
+  // enough answers of its own.
   void OnPeerLine(const SpeedLine& peer);
   SpeedLine line() const { return {ms_per_token_, base_ms_, answers_}; }
 
-  // Milliseconds for which an engine is busy with that many tokens.
+  // Milliseconds for which an engine is busy with `tokens`.
   double PrefillMs(Tokens tokens) const;
-  // Milliseconds until a first event with that many tokens ahead of it.
+  // Milliseconds until a first event with `tokens` ahead of it.
   double FirstEventMs(Tokens tokens) const {
     return base_ms_ + PrefillMs(tokens);
   }
-  // Milliseconds of a first event that don't depend on any prompt.
+  // The part of the wait in milliseconds that does not depend on any prompt.
   double base_ms() const { return base_ms_; }
 
  private:
   void FitLine();
   void SetLine(double ms_per_token, double base_ms);
 
-  // Faded sums over the answers: their number, tokens, waits, products.
+  // Sums over the answers with decayed weights: number, tokens, waits,
+  // products.
   double answers_ = 0;
   double tokens_ = 0;
   double waits_ = 0;
   double tokens_squared_ = 0;
   double tokens_waits_ = 0;
-  // The line.
-  double ms_per_token_ = kFirstGuessMsPerToken;
-  double base_ms_ = kFirstGuessBaseMs;
+  // The fitted line.
+  double ms_per_token_ = kInitialMsPerToken;
+  double base_ms_ = kInitialBaseMs;
 
-  // Until answers tell better. Not measured: engines known so far prefill 30 to
-  // 50 tokens in a millisecond.
-  static constexpr double kFirstGuessMsPerToken = 1.0 / 50;
-  static constexpr double kFirstGuessBaseMs = 40;
+  // Initial values. Known engines prefill 30 to 50 tokens in a millisecond.
+  static constexpr double kInitialMsPerToken = 1.0 / 50;
+  static constexpr double kInitialBaseMs = 40;
 };
 
 }  // namespace quaytrack
--- a/dispatch/rate_limits.h
+++ b/dispatch/rate_limits.h
@@ -1,30 +1,32 @@
-// RateLimits: how many requests a second targets say they take from all routers
-// together.
+// RateLimits: the rate limits that targets announce, in requests a second from
+// all routers together.
 //
 //   RateLimits limits;
-//   limits.OnNamed(now, target, sent_at, 1.5);   // an answer names a limit
-//   limits.OnNotNamed(now, target, sent_at);     // an answer names none
-//   limits.OnPeer(now, target, report);          // what a peer knows
+//   limits.OnLimit(now, target, sent_at, 1.5);   // an answer states a limit
+//   limits.OnNoLimit(now, target, sent_at);      // an answer states none
+//   limits.OnPeer(now, target, report);          // report from a peer
 //   if (const auto per_s = limits.LimitOf(target)) ...
-//   tell(limits.TakeUntold(now, forwards));
+//   send(limits.TakeUnreported(now, forwards));
 //
-// A limit holds until it is known to have ended or to have been raised: by an
-// answer to a request that was sent after the limit was learned, or by a peer
-// that has seen such an answer. Answers overtake each other, so an older one
-// proves nothing of that; but a lower limit holds at once, whoever names it.
+// A limit applies until it is known to have ended or to have been raised: from
+// an answer to a request that was sent after the limit was learned, or from a
+// peer that has seen such an answer. Answers can overtake each other, so an
+// answer to an older request is no evidence that a limit ended or was raised. A
+// lower limit applies at once, whatever its source.
 //
-// Versions order what peers know: a change that a router has seen itself gets
-// the next version after the latest that it knew, and only a later version
-// replaces an earlier one. Of two changes of one version, which were seen at
-// the same time, the lower limit holds. A router that takes a limit for ended
-// too early learns of it again with its next answer.
+// Versions order the reports of peers. A change that a router has seen itself
+// gets the next version after the latest it knew, and only a later version
+// replaces an earlier one. Of two changes with the same version, which were
+// seen at the same time, the lower limit applies. A router that wrongly takes a
+// limit for ended learns of it again from the next answer of the target.
 //
-// What is remembered is of one start of a target. An answer of a new start may
-// be taken for one of the start before, until the target's entry has been
-// read; `OnStartedAgain` carries a limit over that was heard of so lately.
+// A limit belongs to one start of a target. After a restart, an answer of the
+// new start may be attributed to the previous start until the target's new
+// entry has been read. `OnRestart` therefore carries a recently confirmed limit
+// over to the new start.
 //
-// It owns what was said, reads no clock, and reports no errors. It doesn't
-// decide what may be sent; dispatch/shared_rate.h does.
+// Owns the limits; does not read the clock; cannot fail. It does not decide
+// what may be sent; dispatch/shared_rate.h does.
 
 #ifndef QUAYTRACK_DISPATCH_RATE_LIMITS_H_
 #define QUAYTRACK_DISPATCH_RATE_LIMITS_H_
@@ -42,20 +44,20 @@
 
 namespace quaytrack {
 
-// What one answer says about its target's limit.
+// What one answer states about its target's limit.
 struct RateStatement {
-  // The limit that it names, in requests a second; finite, 0 or more.
+  // The stated limit in requests a second; finite, 0 or more.
   std::optional<double> per_s;
-  // It names none, and would if there were one.
+  // The answer states no limit, and would state one if there were one.
   bool is_unlimited = false;
 };
 
-// What a router knows of a target's limit, for its peers.
+// A target's limit as one router knows it; sent to its peers.
 struct RateReport {
-  // Nothing if the limit has ended.
+  // Unset if the limit has ended.
   std::optional<double> per_s;
   std::uint64_t version = 0;
-  // Since an answer of the target last said so.
+  // Time since an answer of the target last confirmed this.
   Duration age{};
 
   bool operator==(const RateReport&) const = default;
@@ -65,41 +67,42 @@
 
 class RateLimits {
  public:
-  // Peers are told anew that a limit still holds, at most this often.
-  static constexpr Duration kTellAgain = std::chrono::seconds(4);
-  // And that it has ended, for this long.
+  // Minimum time between two reports to peers that a limit still applies.
+  static constexpr Duration kMinReportInterval = std::chrono::seconds(4);
+  // Reports that a limit has ended are repeated for this long.
   static constexpr Duration kRepeatEndFor = std::chrono::seconds(10);
-  // For this long a router that links anew is told that a limit has ended.
-  static constexpr Duration kEndedIsNews = std::chrono::minutes(5);
+  // A router that has just linked is sent the end of a limit if it was
+  // confirmed within this time.
+  static constexpr Duration kReportEndToNewPeersFor = std::chrono::minutes(5);
 
-  // An answer to a request that was sent at `sent_at` names a limit. Returns
-  // whether the limit in force has changed, as the next two do.
-  bool OnNamed(Instant now, const TargetStart& target, Instant sent_at,
+  // An answer to a request that was sent at `sent_at` states a limit. Returns
+  // whether the limit that applies has changed, as do the next two functions.
+  bool OnLimit(Instant now, const TargetStart& target, Instant sent_at,
                double per_s) {
     Item& at = items_[target];
-    const bool raises = at.per_s && per_s > *at.per_s;
-    if (raises && sent_at < at.learned_at) return false;
-    at.heard_at = now;
+    const bool is_raise = at.per_s && per_s > *at.per_s;
+    if (is_raise && sent_at < at.learned_at) return false;
+    at.confirmed_at = now;
     if (at.per_s != per_s) return Change(now, at, per_s);
-    if (now - at.told_at >= kTellAgain) at.MarkUntold(true);
+    if (now - at.reported_at >= kMinReportInterval) at.MarkUnreported(true);
     return false;
   }
 
-  // An answer to a request that was sent at `sent_at` names no limit.
-  bool OnNotNamed(Instant now, const TargetStart& target, Instant sent_at) {
+  // An answer to a request that was sent at `sent_at` states no limit.
+  bool OnNoLimit(Instant now, const TargetStart& target, Instant sent_at) {
     const auto it = items_.find(target);
     if (it == items_.end()) return false;
     Item& at = it->second;
     if (sent_at < at.learned_at) return false;
-    at.heard_at = now;
+    at.confirmed_at = now;
     if (at.per_s) return Change(now, at, std::nullopt);
-    const bool repeat =
-        now - at.learned_at < kRepeatEndFor && now - at.told_at >= kTellAgain;
-    if (repeat) at.MarkUntold(true);
+    const bool repeat = now - at.learned_at < kRepeatEndFor &&
+                        now - at.reported_at >= kMinReportInterval;
+    if (repeat) at.MarkUnreported(true);
     return false;
   }
 
-  // A report's age may be too low by the time that the message took.
+  // The age in a report does not include the transit time of the message.
   bool OnPeer(Instant now, const TargetStart& target,
               const RateReport& report) {
     Item& at = items_[target];
@@ -107,51 +110,53 @@
     const bool replaces =
         report.version > at.version || IsLower(report.per_s, at.per_s);
     if (!replaces && report.per_s != at.per_s) return false;
-    const Instant heard_at = now - report.age;
-    if (heard_at > at.heard_at && now - at.told_at >= kTellAgain) {
-      at.MarkUntold(false);
+    const Instant confirmed_at = now - report.age;
+    if (confirmed_at > at.confirmed_at &&
+        now - at.reported_at >= kMinReportInterval) {
+      at.MarkUnreported(false);
     }
-    at.heard_at = std::max(at.heard_at, heard_at);
+    at.confirmed_at = std::max(at.confirmed_at, confirmed_at);
     if (!replaces) return false;
     const bool changed = at.per_s != report.per_s;
     at.per_s = report.per_s;
     at.version = report.version;
     at.learned_at = now;
-    at.MarkUntold(false);
-    Bound();
+    at.MarkUnreported(false);
+    EvictIfFull();
     return changed;
   }
 
-  // A target has started again. Returns whether its limit is kept.
-  bool OnStartedAgain(Instant now, const TargetStart& before,
-                      const TargetStart& after) {
+  // A target has restarted. Returns whether its limit was carried over.
+  bool OnRestart(Instant now, const TargetStart& before,
+                 const TargetStart& after) {
     const auto it = items_.find(before);
     if (it == items_.end() || !it->second.per_s) return false;
-    if (now - it->second.heard_at >= kEntryTellsWithin) return false;
-    const Item kept = it->second;
-    return items_.try_emplace(after, kept).second;
+    if (now - it->second.confirmed_at >= kEntryTellsWithin) return false;
+    const Item item = it->second;
+    return items_.try_emplace(after, item).second;
   }
 
   std::optional<double> LimitOf(const TargetStart& target) const {
     const auto it = items_.find(target);
     return it == items_.end() ? std::nullopt : it->second.per_s;
   }
-  // When an answer, here or at a peer, last said what is known of the target's
-  // limit.
-  Instant HeardAt(const TargetStart& target) const {
+  // When an answer, here or at a peer, last confirmed what is known of the
+  // limit of the target; `Instant{}` if nothing is known.
+  Instant ConfirmedAt(const TargetStart& target) const {
     const auto it = items_.find(target);
-    return it == items_.end() ? Instant{} : it->second.heard_at;
+    return it == items_.end() ? Instant{} : it->second.confirmed_at;
   }
 
-  // What peers haven't been told. `forwards`: also what other peers have said.
-  RateReports TakeUntold(Instant now, bool forwards) {
+  // Reports that were not sent to the peers yet. With `forwards`, these include
+  // reports received from other peers.
+  RateReports TakeUnreported(Instant now, bool forwards) {
     RateReports out;
     for (auto& [target, it] : items_) {
-      if (!it.untold || !(it.seen_here || forwards)) continue;
+      if (!it.unreported || !(it.seen_locally || forwards)) continue;
       out[target] = it.Report(now);
-      it.told_at = now;
-      it.untold = false;
-      it.seen_here = false;
+      it.reported_at = now;
+      it.unreported = false;
+      it.seen_locally = false;
     }
     return out;
   }
@@ -160,8 +165,9 @@
   RateReports All(Instant now) const {
     RateReports out;
     for (const auto& [target, it] : items_) {
-      const bool is_news = it.per_s || now - it.heard_at < kEndedIsNews;
-      if (is_news) out[target] = it.Report(now);
+      const bool is_sent =
+          it.per_s || now - it.confirmed_at < kReportEndToNewPeersFor;
+      if (is_sent) out[target] = it.Report(now);
     }
     return out;
   }
@@ -174,27 +180,27 @@
   }
 
  private:
-  // Starts that are remembered; some times as many as a large fleet has.
-  static constexpr std::size_t kMostItems = 4096;
+  // Bound on target starts, several times the number in a large fleet.
+  static constexpr std::size_t kMaxItems = 4096;
 
   struct Item {
     std::optional<double> per_s;
     std::uint64_t version = 0;
     // When this router learned of `per_s`.
     Instant learned_at{};
-    // When an answer last said so.
-    Instant heard_at{};
-    Instant told_at{};
-    bool untold = false;
-    // What is untold was said to this router by the target.
-    bool seen_here = false;
-
-    void MarkUntold(bool here) {
-      untold = true;
-      seen_here = seen_here || here;
+    // When an answer last confirmed it.
+    Instant confirmed_at{};
+    Instant reported_at{};
+    bool unreported = false;
+    // Some of the unreported information came from the target to this router.
+    bool seen_locally = false;
+
+    void MarkUnreported(bool here) {
+      unreported = true;
+      seen_locally = seen_locally || here;
     }
     RateReport Report(Instant now) const {
-      return {per_s, version, std::max(now - heard_at, Duration::zero())};
+      return {per_s, version, std::max(now - confirmed_at, Duration::zero())};
     }
   };
 
@@ -207,17 +213,17 @@
     at.per_s = per_s;
     ++at.version;
     at.learned_at = now;
-    at.MarkUntold(true);
-    Bound();
+    at.MarkUnreported(true);
+    EvictIfFull();
     return true;
   }
 
-  // Forgets the one that was heard of least lately.
-  void Bound() {
-    if (items_.size() <= kMostItems) return;
+  // Evicts the item that was confirmed least recently.
+  void EvictIfFull() {
+    if (items_.size() <= kMaxItems) return;
     items_.erase(std::min_element(
         items_.begin(), items_.end(), [](const auto& a, const auto& b) {
-          return a.second.heard_at < b.second.heard_at;
+          return a.second.confirmed_at < b.second.confirmed_at;
         }));
   }
 
--- a/dispatch/retry_share.h
+++ b/dispatch/retry_share.h
@@ -1,27 +1,29 @@
-// RetryShare: one router's share of the retries that a service may be given.
+// RetryShare: one router's share of the retries that the deployment allows for
+// a service.
 //
 //   RetryShare share({ratio, window, slack});
 //   share.SetRouters(fleet.size());
-//   share.OnRequest(now);                       // each request, once
-//   if (share.TryRetry(now)) ...                // a retry; false: give up
+//   share.OnRequest(now);                       // once per request
+//   if (share.TryRetry(now)) ...                // false: give up
 //
-// The rule. Within any window, all routers together may send a service at most
+// Rule: within any window, all routers together may send a service at most
 // `ratio` times its requests plus `slack` retries, where a retry is any send of
-// a request beyond its first. A router knows its own requests only. It keeps to
-// `ratio` times those plus an equal share of the slack, and uses `margin` of
-// that, so that the sum keeps to the rule however the load is split (per-client
-// retry budgets, "Handling Overload", Google SRE book, 2016).
+// a request beyond its first. A router knows only its own requests. It allows
+// `ratio` times those plus an equal share of the slack, and uses only the
+// fraction `margin` of that, so that the total stays within the rule however
+// the load is distributed (per-client retry budgets, "Handling Overload",
+// Google SRE book, 2016).
 //
-// Inputs: this router's requests of the window, its retries of the window, and
-// the number of routers, which may be a little out of date. `ratio`, `slack`
-// and the window are settings (--retry-ratio, --retry-slack, --retry-window-s).
+// Inputs: this router's requests and retries in the window, and the number of
+// routers, which may be slightly out of date. `ratio`, `slack` and the window
+// are settings (--retry-ratio, --retry-slack, --retry-window-s).
 //
-// It owns two lists of times, one entry for each request and retry of the
-// window, and relies on the time passed in, which never goes back.
+// Owns two lists of times, with one entry for each request and retry in the
+// window; relies on the time passed in, which never goes back.
 //
-// `quaytrack router` uses route/retry_budget.h. That is another decision: it
-// has no rule of the fleet to keep, and only bounds its own retries so that
-// they can't multiply an overload; a balance without a window is enough for it.
+// `quaytrack router` uses route/retry_budget.h instead: it has no fleet-wide
+// rule to keep, and only bounds its own retries so that they cannot multiply an
+// overload. A balance without a window is sufficient for that.
 
 #ifndef QUAYTRACK_DISPATCH_RETRY_SHARE_H_
 #define QUAYTRACK_DISPATCH_RETRY_SHARE_H_
@@ -34,14 +36,14 @@
 namespace quaytrack {
 
 struct RetryShareOptions {
-  // Retries for each request. This and the next two are set by the deployment;
-  // the defaults are those of the settings and were not measured.
+  // Retries per request. The deployment sets this and the next two; the
+  // defaults are those of the settings.
   double ratio = 0.2;
   Duration window = std::chrono::seconds(10);
-  // Retries in each window beyond `ratio`, of all routers together.
+  // Retries per window in addition to `ratio`, for all routers together.
   double slack = 50;
-  // Part of this router's share that it uses; the rest allows for a number of
-  // routers that is out of date. Not measured.
+  // Fraction of this router's share that it uses; the rest allows for an
+  // outdated number of routers.
   double margin = 0.8;
 };
 
@@ -54,13 +56,13 @@
     routers_ = std::max<std::size_t>(1, routers);
   }
 
-  // A request was admitted; its own retries don't count as requests.
+  // A request was admitted. Retries are not counted here.
   void OnRequest(Instant now) {
     DropOld(now);
     requests_.push_back(now);
   }
 
-  // Whether a retry is left; if so, it is counted.
+  // Returns whether a retry is allowed, and counts it if so.
   bool TryRetry(Instant now) {
     DropOld(now);
     const double slack = options_.slack / static_cast<double>(routers_);
--- a/dispatch/shared_rate.h
+++ b/dispatch/shared_rate.h
@@ -1,46 +1,48 @@
-// SharedRate: how many requests this router may send to a target that takes
-// only so many a second from all routers together.
+// SharedRate: how many requests this router may send to a target whose rate
+// limit applies to all routers together.
 //
 //   SharedRate rate(started, {.span = 1s, .overage = 1.5, .slack = 5});
-//   const auto part = rate.PartOf(per_s, place.routers);
-//   if (part.IsOwner(place) && rate.MaySend(now, target, part)) {
+//   const auto share = rate.ShareOf(per_s, place.routers);
+//   if (share.IsOwner(place) && rate.MaySend(now, target, share)) {
 //     rate.OnSent(now, target);
 //   }
 //
-// In any span of `span`, all routers together send one target at most
-// `MostInASpan`, whoever of them is in touch with whom. So the bound can't rest
-// on messages between them. It rests on the list of routers: the first few of
-// it in the rendezvous order of the target (fleet/fleet.h) own it, and nobody
-// else sends to it, but for stand-ins (below). Each owner sends at most its
-// part. Over longer times, all owners together keep to the rate itself.
+// In any period of length `span`, all routers together send one target at most
+// `MaxPerSpan` requests, even if routers cannot reach each other. The bound
+// therefore does not rest on messages between routers but on the list of
+// routers: the first few routers in the rendezvous order of the target
+// (fleet/fleet.h) own it, and no other router sends to it, except backups (see
+// below). Each owner sends at most its share. Over longer periods, all owners
+// together keep to the rate itself.
 //
-// Lists may differ for a while. Entries are never removed from them, so a list
-// that is behind lacks the newest routers, and only a router that one of those
-// has put out of the owners wrongly takes itself for one. So each owner's part
-// is taken for twice as many owners: the bound holds as long as no more of a
-// target's owners than it has were put out within the time that a list is
-// behind, and no list is less than half of the longest. A router that has not
-// read the list owns nothing.
+// Lists may differ for a while. Entries are never removed from them, so an
+// outdated list lacks only the newest routers, and a router wrongly considers
+// itself an owner only if one of those has displaced it. Each share is
+// therefore computed for twice the number of owners. The bound holds as long
+// as, within the time by which a list is outdated, no more owners of a target
+// are displaced than it has, and no list is shorter than half the longest. A
+// router that has not read the list owns no target.
 //
-// Stand-ins. Owners may all be down, and nobody would then find out that a
-// limit has ended. When nothing has been heard of the target for a while, the
-// next routers in its order send one request each beside the owners, as many as
-// there are owners, and after as long again those behind them. An answer that
-// one of them gets is told to all. The parts leave room for that as well: for
-// owners and stand-ins with equal lists, or for differing lists without
-// stand-ins. Routers that can't tell each other anything stand in by turns, so
-// few act at a time.
+// Backups: all owners may be down, and then no router would learn that a limit
+// has ended. When no answer of the target has been reported for a while, the
+// next routers in its order, as many as there are owners, may send one request
+// each in addition to the owners; after the same time again, the group after
+// those. An answer that one of them receives is reported to all routers. The
+// shares leave room for this too: for owners and backups with equal lists, or
+// for differing lists without backups. Routers that cannot reach each other act
+// as backups in turn, so few of them act at a time.
 //
-// A process that starts doesn't know what the one before it on its VM has sent,
-// so it sends nothing for one window. A window is longer than a span by what
-// a request may wait for its connection after it was let through
-// (relay/attempt.h): requests that were let through in two windows can't be
-// written within one span. What a network holds up after that has left this
-// router in another span than it arrives in.
+// A process that has just started does not know what the previous process on
+// its VM has sent, so it sends nothing for one window. A window is longer than
+// a span by the time that a request may wait for its connection after it was
+// allowed (relay/attempt.h). Requests that were allowed in two windows
+// therefore cannot be written within one span. Network delay after that can
+// move a request into another span at the target than the one in which it was
+// sent.
 //
 // docs/design/rate-limits.md has the proof.
 //
-// It owns the times of what was sent, reads no clock, and reports no errors.
+// Owns the times of sends; does not read the clock; cannot fail.
 
 #ifndef QUAYTRACK_DISPATCH_SHARED_RATE_H_
 #define QUAYTRACK_DISPATCH_SHARED_RATE_H_
@@ -57,23 +59,24 @@
 
 namespace quaytrack {
 
-// What may be sent in any span: so many times the rate, and so many requests
-// more.
+// What may be sent in any span: `overage` times the rate, plus `slack`
+// requests.
 struct RateAllowance {
   Duration span = std::chrono::seconds(1);
   double overage = 1;
   double slack = 0;
 };
 
-// One owner's part of a target's rate.
-struct OwnerPart {
-  // So many windows without news of the target make a turn of stand-ins.
+// One owner's share of a target's rate.
+struct OwnerShare {
+  // The group of backups changes after this many windows without an answer of
+  // the target.
   static constexpr int kWindowsPerTurn = 3;
 
-  // Two at least, so that a target gets work while one of them is down; more
-  // where each has a part that is worth having.
+  // At least two, so that a target gets work while one of them is down; more if
+  // the rate is large enough for each to get several requests.
   std::size_t owners = 1;
-  // One owner sends at most so many in a window.
+  // Maximum number of requests that one owner sends in a window.
   std::size_t requests = 1;
   Duration window{};
 
@@ -81,17 +84,17 @@
     return place.rank < owners;
   }
 
-  // What a router at that place sends: an owner its part, a stand-in one
-  // request.
-  OwnerPart For(const RendezvousPlace& place) const {
-    OwnerPart out = *this;
+  // The share of a router at `place`: the full share for an owner, one request
+  // for a backup.
+  OwnerShare For(const RendezvousPlace& place) const {
+    OwnerShare out = *this;
     if (!IsOwner(place)) out.requests = 1;
     return out;
   }
 
-  // Whether a router at that place is an owner or stands in for one, `silent`
-  // after anything was last heard of the target.
-  bool Acts(const RendezvousPlace& place, Duration silent) const {
+  // Whether a router at `place` is an owner or a backup whose turn it is,
+  // `silent` after the last report on the target.
+  bool IsActive(const RendezvousPlace& place, Duration silent) const {
     if (IsOwner(place)) return true;
     const auto turn = static_cast<std::size_t>(
         std::max(silent, Duration::zero()) / (kWindowsPerTurn * window));
@@ -102,73 +105,75 @@
 
 class SharedRate {
  public:
-  // `started` is when the process did.
+  // `started` is the start time of the process.
   SharedRate(Instant started, RateAllowance allowance)
       : started_(started), allowance_(allowance) {}
 
-  // Of all routers, to one target that takes `per_s` requests a second.
-  double MostInASpan(double per_s) const {
-    return std::clamp(per_s, 0.0, kMostPerS) * ToSeconds(allowance_.span) *
+  // The most that all routers together may send to a target with limit `per_s`
+  // in one span.
+  double MaxPerSpan(double per_s) const {
+    return std::clamp(per_s, 0.0, kMaxPerS) * ToSeconds(allowance_.span) *
                allowance_.overage +
            allowance_.slack;
   }
 
-  // Of one owner, with so many routers on the list.
-  OwnerPart PartOf(double per_s, std::size_t routers) const {
-    OwnerPart out;
-    const double most = MostInASpan(per_s);
-    const std::size_t worth = static_cast<std::size_t>(most / kWorthOwning);
-    out.owners = std::max(kLeastOwners,
-                          std::min(worth, std::max<std::size_t>(1, routers)));
+  // Share of one owner if the list has that many routers.
+  OwnerShare ShareOf(double per_s, std::size_t routers) const {
+    OwnerShare out;
+    const double max_per_span = MaxPerSpan(per_s);
+    const std::size_t max_owners =
+        static_cast<std::size_t>(max_per_span / kRequestsPerOwner);
+    out.owners = std::max(
+        kMinOwners, std::min(max_owners, std::max<std::size_t>(1, routers)));
     const double owners = static_cast<double>(out.owners);
-    const double part = most / (2 * owners);
-    out.requests = static_cast<std::size_t>(std::max(1.0, part));
+    const double share = max_per_span / (2 * owners);
+    out.requests = static_cast<std::size_t>(std::max(1.0, share));
     out.window =
-        WindowOf(part, static_cast<double>(out.requests) * owners / per_s);
+        WindowOf(share, static_cast<double>(out.requests) * owners / per_s);
     return out;
   }
 
   bool MaySend(Instant now, const TargetStart& target,
-               const OwnerPart& part) const {
-    if (now - started_ < part.window) return false;
+               const OwnerShare& share) const {
+    if (now - started_ < share.window) return false;
     const auto it = sent_.find(target);
     if (it == sent_.end()) return true;
     std::size_t recent = 0;
     for (const Instant at : it->second)
-      recent += now - at < part.window ? 1 : 0;
-    return recent < part.requests;
+      recent += now - at < share.window ? 1 : 0;
+    return recent < share.requests;
   }
 
   void OnSent(Instant now, const TargetStart& target) {
-    Forget(now);
+    DropOld(now);
     sent_[target].push_back(now);
   }
 
  private:
-  static constexpr std::size_t kLeastOwners = 2;
-  // Requests of a span for each owner, before there are more than the least.
-  static constexpr double kWorthOwning = 8;
-  // What a request may wait for its connection, and some more.
-  static constexpr Duration kOpening = std::chrono::milliseconds(300);
-  // However little a target takes, it gets a request now and then.
+  static constexpr std::size_t kMinOwners = 2;
+  // Requests per span for each owner, if there are more than `kMinOwners`.
+  static constexpr double kRequestsPerOwner = 8;
+  // More than the time that a request may wait for its connection.
+  static constexpr Duration kConnectAllowance = std::chrono::milliseconds(300);
+  // Even a target with a very low limit gets a request in this time.
   static constexpr Duration kLongestWindow = std::chrono::seconds(20);
-  // Rates above it are reckoned with as this.
-  static constexpr double kMostPerS = 1e6;
-
-  // Longer than a span where an owner's part is less than one request, or where
-  // it takes `even_s` seconds to get what all owners send in one.
-  Duration WindowOf(double part, double even_s) const {
-    const double least = ToSeconds(allowance_.span + kOpening);
-    const double longest = ToSeconds(kLongestWindow);
-    double out = least;
-    if (part < 1) out = part * longest > least ? least / part : longest;
-    if (!(even_s < longest)) even_s = longest;
+  // Higher rates are treated as this one.
+  static constexpr double kMaxPerS = 1e6;
+
+  // Longer than a span if an owner's share is less than one request, or if the
+  // rate allows what all owners send in a window only every `even_s` seconds.
+  Duration WindowOf(double share, double even_s) const {
+    const double min_s = ToSeconds(allowance_.span + kConnectAllowance);
+    const double max_s = ToSeconds(kLongestWindow);
+    double out = min_s;
+    if (share < 1) out = share * max_s > min_s ? min_s / share : max_s;
+    if (!(even_s < max_s)) even_s = max_s;
     return std::chrono::duration_cast<Duration>(
         std::chrono::duration<double>(std::max(out, even_s)));
   }
 
-  // What is older than any window.
-  void Forget(Instant now) {
+  // Drops sends that are older than any window.
+  void DropOld(Instant now) {
     for (auto& [target, times] : sent_) {
       while (!times.empty() && now - times.front() > kLongestWindow) {
         times.pop_front();
--- a/dispatch/target_warmth.h
+++ b/dispatch/target_warmth.h
@@ -1,32 +1,33 @@
 // TargetWarmth: whether one target is cold, as far as this router can know.
 //
 //   TargetWarmth warmth;
-//   warmth.OnCold(now, remaining, ColdSign::kEntry);   // somebody says so
-//   warmth.OnLost(now);                       // an attempt there got no answer
-//   warmth.OnAlive(now, sent_at, cold_start); // it has answered
+//   warmth.OnCold(now, remaining, ColdSign::kEntry);   // its entry says so
+//   warmth.OnLost(now);                       // an attempt got no answer
+//   warmth.OnAlive(now, sent_at, cold_start); // the target answered
 //   if (warmth.IsCold(now)) ...               // dispatch/shared_rate.h
 //
-// A target that has just started is slow, and falls over under more requests
-// than it bears while it is cold. It may have started again at any moment, and
-// says so late: its entry in the store is seconds behind. So a router goes by
-// what it sees itself as well. A target that left an attempt without an answer
-// (its connection broke or didn't open, or nothing came in time), or that ended
-// an idle connection sooner than it said, may have ended, and may be back any
-// moment: it counts as cold from then on, until
+// A target that has just started is slow, and fails under more requests than it
+// can handle while it is cold. It may restart at any moment, and its entry in
+// the store shows this only seconds later, so a router also uses its own
+// observations. If an attempt got no answer (its connection broke or did not
+// open, or the answer did not begin in time), or the target closed an idle
+// connection earlier than announced, the target may have ended and may be back
+// at any moment. It counts as cold from then on, until
 //
-//   - it is shown that it didn't end: it answers a request that it got before
-//     (an answer that was on its way when it ended may still come in, for
-//     `kOnTheWay`); or
-//   - it answers one that it got afterwards: then it has started at the latest
-//     now, and is cold for as long as a start takes from now on; or
-//   - `kDoubt` has passed. By then its entry has been written anew with what it
-//     says of itself, or has lapsed.
+//   - it answers a request that it received before, which shows that it did not
+//     end (except within `kInFlightGrace`, as such an answer may have been in
+//     flight when the target ended); or
+//   - it answers a request that it received later. It may have started as late
+//     as now, so it stays cold for one cold-start time from now on; or
+//   - `kUncertainTime` has passed. By then its entry has been rewritten or has
+//     lapsed.
 //
-// Being in doubt about a target that lives costs little: others take its work,
-// and those who may send to cold targets still do. It must end by itself, as a
-// target that gets nothing shows nothing.
+// Wrongly treating a live target as cold costs little: other targets take its
+// work, and the routers that may send to cold targets still do. The uncertainty
+// has to end by itself, because a target that gets no requests cannot show that
+// it is alive.
 //
-// It owns three times, reads no clock, and can't fail.
+// Owns three times; does not read the clock; cannot fail.
 
 #ifndef QUAYTRACK_DISPATCH_TARGET_WARMTH_H_
 #define QUAYTRACK_DISPATCH_TARGET_WARMTH_H_
@@ -41,12 +42,12 @@
 
 namespace quaytrack {
 
-// What shows that a target is cold; the words are the log's.
+// Why a target counts as cold. The strings are those of the log.
 enum class ColdSign {
   kEntry,     // its entry in the store
-  kStart,     // it has started again under its name
-  kAnswer,    // an answer of its own
-  kHallOpen,  // its hall was closed to work, and no longer is
+  kStart,     // it has restarted under its name
+  kAnswer,    // one of its answers
+  kHallOpen,  // its hall was closed to work and has been reopened
   kLost,      // it may have ended: an attempt got no answer
 };
 
@@ -62,52 +63,53 @@
 
 class TargetWarmth {
  public:
-  // Then its entry tells.
-  static constexpr Duration kDoubt = kEntryTellsWithin;
-  // Bytes that a target sent before it ended are read this long after its end
-  // was seen, at most: both wait in the same loop. Not measured.
-  static constexpr Duration kOnTheWay = std::chrono::milliseconds(100);
-  // The longest that a target can say it stays cold. An entry that names years
-  // must not shut it out.
+  // After this time its entry shows whether it restarted.
+  static constexpr Duration kUncertainTime = kEntryTellsWithin;
+  // Bytes that a target sent before it ended are read at most this long after
+  // its end was seen, because both events wait in the same loop.
+  static constexpr Duration kInFlightGrace = std::chrono::milliseconds(100);
+  // The longest time that a target can announce to stay cold, so that an entry
+  // with a huge value does not exclude it for long.
   static constexpr Duration kLongestCold = std::chrono::seconds(120);
 
-  // It is cold for `remaining` from now on, at least.
+  // The target is cold for at least `remaining` from now on.
   void OnCold(Instant now, Duration remaining, ColdSign sign) {
     const Duration bounded =
         std::clamp(remaining, Duration::zero(), kLongestCold);
     if (now + bounded <= cold_until_) return;
     cold_until_ = now + bounded;
-    sign_ = sign;
+    reason_ = sign;
   }
 
-  // An attempt there ended without an answer, or an idle connection too soon.
+  // An attempt got no answer, or the target closed an idle connection too
+  // early.
   void OnLost(Instant now) {
-    if (!IsCold(now)) sign_ = ColdSign::kLost;
+    if (!IsCold(now)) reason_ = ColdSign::kLost;
     lost_at_ = now;
-    doubt_until_ = now + kDoubt;
+    uncertain_until_ = now + kUncertainTime;
   }
 
-  // It has answered a request that was sent at `sent_at`.
+  // The target answered a request that was sent at `sent_at`.
   void OnAlive(Instant now, Instant sent_at, Duration cold_start) {
-    if (now >= doubt_until_) return;
+    if (now >= uncertain_until_) return;
     if (sent_at >= lost_at_) {
-      doubt_until_ = {};
+      uncertain_until_ = {};
       return OnCold(now, cold_start, ColdSign::kLost);
     }
-    if (now - lost_at_ > kOnTheWay) doubt_until_ = {};
+    if (now - lost_at_ > kInFlightGrace) uncertain_until_ = {};
   }
 
   bool IsCold(Instant now) const {
-    return now < cold_until_ || now < doubt_until_;
+    return now < cold_until_ || now < uncertain_until_;
   }
-  // Of the latest time that it was cold.
-  ColdSign sign() const { return sign_; }
+  // Why it is cold, or was cold the last time.
+  ColdSign reason() const { return reason_; }
 
  private:
   Instant cold_until_{};
   Instant lost_at_{};
-  Instant doubt_until_{};
-  ColdSign sign_ = ColdSign::kEntry;
+  Instant uncertain_until_{};
+  ColdSign reason_ = ColdSign::kEntry;
 };
 
 }  // namespace quaytrack
--- a/dispatch/testing/crash_blame_test.cc
+++ b/dispatch/testing/crash_blame_test.cc
@@ -1,4 +1,5 @@
-// Which request is blamed when targets crash, and that the others aren't.
+// Which requests are blamed for crashes of targets, and that innocent ones are
+// not.
 
 #include "dispatch/crash_blame.h"
 
@@ -42,7 +43,7 @@
   BOOST_TEST(!it.IsBlamed(kCulprit));
 }
 
-// Three crashes that both were in.
+// Three crashes with both requests running.
 void NoteBoth(CrashBlame& blame, int other_ms, int culprit_ms) {
   for (int n = 1; n <= 3; ++n) {
     blame.Note(Report(kOther, n, other_ms), kNow);
@@ -50,8 +51,9 @@
   }
 }
 
-// Both were sent again and met three times; the one that had just begun each
-// time is the likelier, and once it has crashed another it is the only one.
+// Both requests were retried and met at three targets. The one that had just
+// begun each time is more likely the cause; after one more crash it is the only
+// candidate.
 BOOST_AUTO_TEST_CASE(WhatACulpritExplainsCountsAgainstNobodyElse) {
   CrashBlame it;
   NoteBoth(it, 400, 60);
@@ -73,7 +75,7 @@
   for (int n = 1; n <= 3; ++n) it.Note(Report(kCulprit, n), kNow);
   for (int n = 3; n <= 6; ++n) it.Note(Report(kOther, n), kNow);
   BOOST_TEST(it.IsBlamed(kOther));
-  // Of the target that both were at, one of them may be innocent.
+  // One crash is common to both, and only one of them may have caused it.
   BOOST_TEST(!it.IsBlamed(kCulprit));
   it.Note(Report(kCulprit, 7), kNow);
   BOOST_TEST(it.IsBlamed(kCulprit));
@@ -88,7 +90,7 @@
   it.NoteRan(kCulprit, kNow, kNow);
   BOOST_TEST(!it.IsBlamed(kCulprit));
   BOOST_TEST(!it.IsSuspected(kCulprit));
-  // What it does later counts anew.
+  // Later crashes count again.
   const WallTime later = kNow + seconds(5);
   for (int n = 4; n <= 6; ++n) {
     it.Note(Report(kCulprit, n, 50, later), later);
@@ -114,7 +116,7 @@
 BOOST_AUTO_TEST_CASE(TimesThatCantBeDoNoHarm) {
   CrashBlame it;
   BOOST_TEST(!it.Note(Report(kCulprit, 1, 50, WallTime{}), kNow));
-  // From a clock that is far ahead: as of now.
+  // A report from a clock that is far ahead counts as of now.
   for (int n = 1; n <= 3; ++n) {
     it.Note(Report(kCulprit, n, 50, kNow + kCrashMemory * 9), kNow);
   }
@@ -123,8 +125,8 @@
   BOOST_TEST(it.empty());
 }
 
-// A caller that never repeats itself fills the memory; one that crashes targets
-// again and again meanwhile is still known, and the memory stays bounded.
+// Requests that never return fill the table. One that crashes targets
+// repeatedly in the meantime is still found, and memory stays bounded.
 BOOST_AUTO_TEST_CASE(AFloodOfRequestsThatNeverReturnHidesNobody) {
   CrashBlame it;
   int target = 0;
@@ -133,7 +135,7 @@
     const Fingerprint one("once-" + std::to_string(n));
     it.Note(Report(one, ++target, 50, at), at);
     if (n % 500 == 0) it.Note(Report(kCulprit, ++target, 50, at), at);
-    BOOST_REQUIRE(it.size() <= CrashBlame::kMostRequests);
+    BOOST_REQUIRE(it.size() <= CrashBlame::kMaxRequests);
   }
   BOOST_TEST(it.IsBlamed(kCulprit));
   BOOST_TEST(it.blamed().size() == 1U);
@@ -160,36 +162,38 @@
   });
 }
 
-// --- Drawn fleets ------------------------------------------------------------
+// --- Simulated fleets --------------------------------------------------------
 
-// Targets that run requests, and what routers report of them. Callers whose
-// request is lost have it sent to another target, `kSends` times, and return
-// once. Time goes in steps of 10 ms.
-class DrawnFleet {
+// Simulates targets that run requests and routers that report crashes, with
+// random numbers from a seed. A lost request is sent to another target, up to
+// `kSends` times in all, and its caller returns once. Time advances in steps of
+// 10 ms.
+class SimulatedFleet {
  public:
   static constexpr int kTargets = 12;
   static constexpr int kSends = 3;
   static constexpr int kStepMs = 10;
   static constexpr int kDownMs = 3000;
-  // From a crash until all routers know of it.
+  // Longest time from a crash until all routers know of it.
   static constexpr int kSpreadMs = 400;
   static constexpr int kBeginningMs = 300;
-  // The users' bound for what is known to reach each router.
+  // The platform's limit on the time until each router refuses a known harmful
+  // request.
   static constexpr int kKnownAfterMs = 3000;
 
-  // When a target sends the head of an answer: as a request begins to run, or
-  // with its first event, so that nobody sees which ones still wait.
+  // When a target sends the head of an answer: when a request begins to run, or
+  // with its first event, so that routers cannot see which requests still wait.
   enum class Heads { kEarly, kLate };
 
-  explicit DrawnFleet(unsigned seed, Heads heads = Heads::kEarly,
-                      int longest_wait_ms = 300)
+  explicit SimulatedFleet(unsigned seed, Heads heads = Heads::kEarly,
+                          int longest_wait_ms = 300)
       : random_(seed), heads_(heads), longest_wait_ms_(longest_wait_ms) {
     for (int n = 0; n < kTargets; ++n) targets_.push_back({++starts_, 0, {}});
   }
 
-  // A request that crashes its targets, from `from_ms` on.
+  // Adds a request that crashes its targets, from `from_ms` on.
   void AddCulprit(int from_ms) { culprits_.push_back({from_ms, 0, 0, 0}); }
-  // Targets crash by themselves, about one in `every_ms`.
+  // Targets also crash without a culprit, about one in `every_ms`.
   void CrashEvery(int every_ms) { crash_every_ms_ = every_ms; }
 
   void Run(int ms) {
@@ -225,9 +229,9 @@
   struct Culprit {
     int next_ms;
     int crashes;
-    // Of its third crash.
+    // Time of its third crash.
     int known_ms;
-    // Sends later than `kKnownAfterMs` after that.
+    // Number of sends later than `kKnownAfterMs` after that.
     int late;
   };
   struct Pending {
@@ -235,8 +239,8 @@
     CrashReport report;
   };
 
-  int Draw(int least, int most) {
-    return std::uniform_int_distribution<int>(least, most)(random_);
+  int Random(int min, int max) {
+    return std::uniform_int_distribution<int>(min, max)(random_);
   }
   static Fingerprint NameOf(int request) {
     return Fingerprint(std::to_string(request));
@@ -249,9 +253,9 @@
     }
     if (up.empty()) return nullptr;
     return up[static_cast<std::size_t>(
-        Draw(0, static_cast<int>(up.size()) - 1))];
+        Random(0, static_cast<int>(up.size()) - 1))];
   }
-  // Culprits have numbers below 0.
+  // Culprits have negative numbers.
   void Send(int request, int sends, int returns, bool outlived = false) {
     if (blame_.IsBlamed(NameOf(request))) {
       if (request >= 0) ++innocents_refused_;
@@ -259,20 +263,20 @@
     }
     Target* target = Choose();
     if (target == nullptr) return;
-    // It begins when what is before it has been read.
-    const int begins = now_ms_ + Draw(0, longest_wait_ms_);
+    // It begins to run when the requests ahead of it have been prefilled.
+    const int begins = now_ms_ + Random(0, longest_wait_ms_);
     if (request < 0) {
       Culprit& culprit = culprits_[static_cast<std::size_t>(-request - 1)];
       const bool known = culprit.crashes >= 3;
       if (known && now_ms_ > culprit.known_ms + kKnownAfterMs) ++culprit.late;
-      const int ends = begins + Draw(5, 120);
+      const int ends = begins + Random(5, 120);
       target->running.push_back(
           {request, sends, returns, false, now_ms_, begins, ends, ends});
       return;
     }
-    const int events = begins + Draw(30, 600);
+    const int events = begins + Random(30, 600);
     target->running.push_back({request, sends, returns, outlived, now_ms_,
-                               begins, events, events + Draw(300, 3500)});
+                               begins, events, events + Random(300, 3500)});
   }
   void Crash(Target& target) {
     const std::vector<Running> lost = std::exchange(target.running, {});
@@ -283,7 +287,7 @@
       if (runs_well) blame_.NoteRan(NameOf(it.request), Now(), Now());
       if (begun_for < 0 || runs_well || it.outlived) continue;
       pending_.push_back(
-          {now_ms_ + Draw(20, kSpreadMs),
+          {now_ms_ + Random(20, kSpreadMs),
            {NameOf(it.request), TargetStart(std::to_string(target.start)),
             Now(), milliseconds(begun_for)}});
     }
@@ -335,14 +339,14 @@
       pending_.erase(due);
     }
     for (Target& it : targets_) End(it);
-    const bool arrives = Draw(0, 99) < 46;
+    const bool arrives = Random(0, 99) < 46;
     if (arrives) Send(innocents_++, 1, 0);
     for (std::size_t n = 0; n < culprits_.size(); ++n) {
       if (culprits_[n].next_ms > now_ms_) continue;
-      culprits_[n].next_ms = now_ms_ + Draw(200, 1000);
+      culprits_[n].next_ms = now_ms_ + Random(200, 1000);
       Send(-static_cast<int>(n) - 1, 1, 0);
     }
-    if (crash_every_ms_ > 0 && Draw(0, crash_every_ms_) < kStepMs) {
+    if (crash_every_ms_ > 0 && Random(0, crash_every_ms_) < kStepMs) {
       if (Target* it = Choose()) Crash(*it);
     }
   }
@@ -361,22 +365,22 @@
   int crash_every_ms_ = 0;
 };
 
-// What 20 drawn fleets of one kind come to.
+// Results of 20 simulated fleets of one kind.
 struct Tally {
   int innocents = 0;
   int refused = 0;
-  int most_crashes = 0;
-  int most_late = 0;
+  int max_crashes = 0;
+  int max_late = 0;
 
-  void Add(const DrawnFleet& it, int culprits) {
+  void Add(const SimulatedFleet& it, int culprits) {
     innocents += it.innocents();
     refused += it.innocents_refused();
     for (int n = 0; n < culprits; ++n) {
-      most_crashes = std::max(most_crashes, it.CrashesBy(n));
-      most_late = std::max(most_late, it.LateSendsOf(n));
+      max_crashes = std::max(max_crashes, it.CrashesBy(n));
+      max_late = std::max(max_late, it.LateSendsOf(n));
     }
   }
-  // One in so many of the innocent requests, at most.
+  // Whether at most one in `many` innocent requests was refused.
   bool RefusesAtMostOneIn(int many) const {
     return refused * many <= innocents;
   }
@@ -385,16 +389,16 @@
 constexpr unsigned kSeeds = 20;
 constexpr int kRunMs = 40'000;
 
-using Heads = DrawnFleet::Heads;
+using Heads = SimulatedFleet::Heads;
 constexpr int kShortWaitMs = 300;
-// At the engines' full load, some wait for as long as this.
+// At full load of the engines, requests wait up to this long.
 constexpr int kLongWaitMs = 1500;
 
 Tally BesideCulprits(int culprits, Heads heads = Heads::kEarly,
                      int longest_wait_ms = kShortWaitMs) {
   Tally out;
   for (unsigned seed = 1; seed <= kSeeds; ++seed) {
-    DrawnFleet fleet(seed, heads, longest_wait_ms);
+    SimulatedFleet fleet(seed, heads, longest_wait_ms);
     for (int n = 0; n < culprits; ++n) fleet.AddCulprit(5000 + n * 700);
     fleet.Run(kRunMs);
     out.Add(fleet, culprits);
@@ -402,15 +406,15 @@
   BOOST_TEST_MESSAGE(culprits << " culprits, heads " << static_cast<int>(heads)
                               << ", waits to " << longest_wait_ms << " ms: "
                               << out.refused << " of " << out.innocents
-                              << " refused, most crashes " << out.most_crashes
-                              << ", late sends " << out.most_late);
+                              << " refused, most crashes " << out.max_crashes
+                              << ", late sends " << out.max_late);
   return out;
 }
 
 Tally WithACrashEach(int ms, Heads heads = Heads::kEarly) {
   Tally out;
   for (unsigned seed = 1; seed <= kSeeds; ++seed) {
-    DrawnFleet fleet(seed, heads);
+    SimulatedFleet fleet(seed, heads);
     fleet.CrashEvery(ms);
     fleet.Run(kRunMs);
     out.Add(fleet, 0);
@@ -421,18 +425,18 @@
   return out;
 }
 
-// Those after the third come within the time in which the reports spread.
-constexpr int kMostCrashes = 6;
+// Crashes after the third happen while the reports spread.
+constexpr int kMaxCrashes = 6;
 
 BOOST_AUTO_TEST_CASE(InDrawnFleetsOnlyTheCulpritsAreRefused) {
   for (const int culprits : {1, 2}) {
     const Tally tally = BesideCulprits(culprits);
     BOOST_TEST(tally.refused == 0);
-    BOOST_TEST(tally.most_crashes <= kMostCrashes);
+    BOOST_TEST(tally.max_crashes <= kMaxCrashes);
   }
   const Tally tally = BesideCulprits(4);
   BOOST_TEST(tally.RefusesAtMostOneIn(5000));
-  BOOST_TEST(tally.most_crashes <= kMostCrashes);
+  BOOST_TEST(tally.max_crashes <= kMaxCrashes);
 }
 
 BOOST_AUTO_TEST_CASE(WhereTargetsCrashByThemselvesHardlyAnybodyIsRefused) {
@@ -442,20 +446,21 @@
   BOOST_TEST(WithACrashEach(300).RefusesAtMostOneIn(200));
 }
 
-// The users' bound for what reaches a target later than 3 s after the third.
-constexpr int kMostLate = 3;
+// The platform's limit on requests that reach a target later than 3 s after the
+// third crash.
+constexpr int kMaxLate = 3;
 
-// Which requests wait and which run can't be seen; the culprits are still told
-// from them by their crashes. How often one crashes a target isn't bounded
-// here: where requests wait, several of its sends are in queues when it gets
-// known.
+// Routers cannot see which requests wait and which run, yet the culprits are
+// recognized by their crashes. The number of crashes by one culprit is not
+// bounded here: where requests wait, several of its sends are queued when it
+// becomes known.
 BOOST_AUTO_TEST_CASE(WithLateHeadsOnlyTheCulpritsAreRefused) {
   for (const int wait_ms : {kShortWaitMs, kLongWaitMs}) {
     for (const int culprits : {1, 2, 4}) {
       const Tally tally = BesideCulprits(culprits, Heads::kLate, wait_ms);
       BOOST_TEST(tally.RefusesAtMostOneIn(5000));
-      // With four at once, each is in the others' reports as well.
-      if (culprits <= 2) BOOST_TEST(tally.most_late <= kMostLate);
+      // With four at once, each also appears in reports about the others.
+      if (culprits <= 2) BOOST_TEST(tally.max_late <= kMaxLate);
     }
   }
 }
--- a/dispatch/testing/link_watch_test.cc
+++ b/dispatch/testing/link_watch_test.cc
@@ -1,3 +1,5 @@
+// When a network link counts as busy.
+
 #include "dispatch/link_watch.h"
 
 #include <boost/test/unit_test.hpp>
@@ -8,11 +10,11 @@
 constexpr double kLink = 1.25e6;
 
 struct Fixture {
-  // Carries this part of the link for so many fifths of a second.
-  void Carry(double part, int steps) {
+  // Carries `share` of the link capacity for `steps` fifths of a second.
+  void Carry(double share, int steps) {
     for (int n = 0; n < steps; ++n) {
       now += std::chrono::milliseconds(200);
-      in += part * kLink / 5;
+      in += share * kLink / 5;
       if (watch.Observe(now, in, in / 2)) ++changes;
     }
   }
--- a/dispatch/testing/placement_open_test.cc
+++ b/dispatch/testing/placement_open_test.cc
@@ -1,5 +1,5 @@
-// What keeps work from a target: it leaves, its hall is closed, it is cold, it
-// has a rate limit, or it has asked for a pause.
+// Reasons to send a target no work: it is leaving, its hall is closed, it is
+// cold, it has a rate limit, or it has asked for a pause.
 
 #include <boost/test/unit_test.hpp>
 #include <map>
@@ -20,12 +20,12 @@
   for (std::uint64_t part = 1; part <= 40; ++part) {
     const auto choice = it.Choose(kStart, Prompt(part, 900 + part));
     BOOST_TEST((choice->target.hall != HallName("hall-0")));
-    // Another target is the preferred one meanwhile, for all routers.
+    // In the meantime all routers prefer another target.
     BOOST_TEST(choice->is_preferred);
   }
   BOOST_TEST(!it.IsOpenToWork(targets.at(TargetName("t0"))));
   BOOST_TEST(it.IsOpenToWork(targets.at(TargetName("t1"))));
-  // One that is listed meanwhile is closed as well.
+  // A target that is listed in the meantime is closed as well.
   TargetEntry late = targets.at(TargetName("t0"));
   late.name = TargetName("late");
   targets[late.name] = late;
@@ -68,13 +68,13 @@
 
 // --- Cold targets ------------------------------------------------------------
 
-// Engines that bear few requests after a start, at a router that owns all of
-// them, or none.
+// Engines with a low rate after a start, at a router that owns all of them, or
+// none.
 struct ColdFixture {
-  explicit ColdFixture(bool owns = true) {
+  explicit ColdFixture(bool is_owner = true) {
     it.SetColdRules({{kEngines, {std::chrono::seconds(3), 6.6}}});
-    it.SetPlaces([owns](const TargetStart&) {
-      return std::optional(RendezvousPlace{owns ? 0U : 2U, 7});
+    it.SetPlaces([is_owner](const TargetStart&) {
+      return std::optional(RendezvousPlace{is_owner ? 0U : 2U, 7});
     });
     it.SetTargets(kStart, targets);
   }
@@ -106,7 +106,7 @@
     for (auto& [name, entry] : out) entry.start = TargetStart(name.value);
     return out;
   }();
-  // It started long ago, so its permits don't wait for the start.
+  // The router started long ago, so it may send at once.
   Placement it{HallName("hall-0"), PlacementRates{SharedRate(
                                        {}, {std::chrono::seconds(1), 1.5, 5})}};
 };
@@ -119,7 +119,7 @@
                         NoOwnerFixture) {
   const TargetName cold = Preferred();
   StartAgain(cold, kStart);
-  // All routers prefer another one for its parts meanwhile.
+  // In the meantime all routers prefer another target for its parts.
   BOOST_TEST(it.Choose(kStart, Prompt(7, 1))->is_preferred);
   BOOST_TEST(!Send(kStart, 40).contains(cold));
   const Instant later = kStart + std::chrono::seconds(3);
@@ -130,7 +130,7 @@
   for (const auto& [name, entry] : Targets(kEngines, 4)) {
     StartAgain(name, kStart);
   }
-  // 6.6 x 1.5 + 5 over four routers that may act at once.
+  // 6.6 x 1.5 + 5, over four routers that may act at once.
   for (const auto& [name, n] : Send(kStart, 100)) BOOST_TEST(n == 3);
   BOOST_TEST(!it.Choose(kStart, Prompt(7, 1)).has_value());
   BOOST_TEST(it.HasCold(kStart, Prompt(7, 1)));
@@ -144,7 +144,7 @@
   it.OnSent(kStart, lost, request, true);
   it.OnEnded(kStart, lost, 0, PlacementOutcome::kFailed);
   BOOST_TEST(!Send(kStart + milliseconds(1), 40).contains(lost));
-  // Another answer that it had begun before shows that it lives.
+  // An answer to an earlier request shows that it is alive.
   BOOST_TEST(it.HasCold(kStart + milliseconds(500), Prompt(7, 1)));
   it.OnAlive(kStart + milliseconds(500), lost, kStart - milliseconds(1));
   BOOST_TEST(!it.HasCold(kStart + milliseconds(500), Prompt(7, 1)));
@@ -165,7 +165,7 @@
   BOOST_TEST(!it.ColdChanges(then + std::chrono::seconds(3)).empty());
 }
 
-// It became cold while the request waited for its connection.
+// The target became cold while the request waited for its connection.
 BOOST_FIXTURE_TEST_CASE(WhatWasChosenWarmIsntSentToAColdTarget, ColdFixture) {
   const auto choice = it.Choose(kStart, Prompt(7, 1));
   BOOST_TEST(it.MayStillSend(kStart, *choice, Prompt(7, 1)));
@@ -182,7 +182,7 @@
   BOOST_TEST(!it.HasCold(kStart, Prompt(7, 1)));
 }
 
-// An entry that is read again, unchanged, says nothing new.
+// An entry that is read again unchanged carries no new information.
 BOOST_FIXTURE_TEST_CASE(AnEntryThatStaysMakesNothingColdAgain, NoOwnerFixture) {
   const TargetName cold = Preferred();
   StartAgain(cold, kStart);
@@ -193,16 +193,16 @@
 
 // --- Rate limits, pauses, and what leaves ------------------------------------
 
-RateStatement Names(double per_s) { return {per_s, false}; }
+RateStatement StatesLimit(double per_s) { return {per_s, false}; }
 
-// A router that owns all targets, or none, and has run for long.
+// A router that owns all targets, or none, and started long ago.
 struct LimitFixture : ColdFixture {
-  explicit LimitFixture(bool owns = true) : ColdFixture(owns) {
+  explicit LimitFixture(bool is_owner = true) : ColdFixture(is_owner) {
     const RateAllowance allowance{std::chrono::seconds(4), 1.5, 5};
     it = Placement(HallName("hall-0"),
                    {SharedRate({}, {}), SharedRate({}, allowance)});
-    it.SetPlaces([owns](const TargetStart&) {
-      return std::optional(RendezvousPlace{owns ? 0U : 2U, 7});
+    it.SetPlaces([is_owner](const TargetStart&) {
+      return std::optional(RendezvousPlace{is_owner ? 0U : 2U, 7});
     });
     it.SetTargets(kStart, targets);
   }
@@ -217,14 +217,14 @@
 
 BOOST_FIXTURE_TEST_CASE(ALimitedTargetGetsAnOwnersPart, LimitFixture) {
   const TargetName limited = Preferred();
-  it.OnRate(kStart, StartOf(limited), kStart, Names(1));
+  it.OnRate(kStart, StartOf(limited), kStart, StatesLimit(1));
   // A quarter of 1 x 4 x 1.5 + 5.
   BOOST_TEST(Send(kStart, 40).at(limited) == 2);
   BOOST_TEST(!Send(kStart + milliseconds(4200), 40).contains(limited));
   BOOST_TEST(Send(kStart + milliseconds(4300), 40).at(limited) == 2);
 }
 
-// Both rates hold for a target that has just started and names a limit.
+// Both bounds apply to a target that has just started and announces a limit.
 BOOST_FIXTURE_TEST_CASE(AColdTargetWithALimitKeepsToBoth, LimitFixture) {
   it = Placement(HallName("hall-0"),
                  {SharedRate({}, {std::chrono::seconds(1), 1.5, 5}),
@@ -237,7 +237,7 @@
   const TargetName name = Preferred();
   StartAgain(name, kStart);
   BOOST_TEST(Send(kStart, 100).at(name) == 3);
-  it.OnRate(kStart, StartOf(name), kStart, Names(1));
+  it.OnRate(kStart, StartOf(name), kStart, StatesLimit(1));
   BOOST_TEST(Send(kStart + milliseconds(1300), 100).at(name) == 2);
   BOOST_TEST(!Send(kStart + milliseconds(2600), 100).contains(name));
 }
@@ -245,38 +245,38 @@
 BOOST_FIXTURE_TEST_CASE(ALimitedTargetGetsNothingOfOthers,
                         NoOwnerLimitFixture) {
   const TargetName limited = Preferred();
-  it.OnRate(kStart, StartOf(limited), kStart, Names(1));
-  // Another one is preferred for its parts meanwhile.
+  it.OnRate(kStart, StartOf(limited), kStart, StatesLimit(1));
+  // In the meantime another target is preferred for its parts.
   BOOST_TEST(it.Choose(kStart, Prompt(7, 1))->is_preferred);
   BOOST_TEST(!Send(kStart, 40).contains(limited));
   BOOST_TEST(it.HasLimited(kStart, Prompt(7, 1)));
 }
 
-// The owners are down: the next in the order sends one request.
+// The owners are down: the next router in the order sends one request.
 BOOST_FIXTURE_TEST_CASE(SilenceLetsAnotherRouterTry, NoOwnerLimitFixture) {
   const TargetName limited = Preferred();
-  it.OnRate(kStart, StartOf(limited), kStart, Names(1));
+  it.OnRate(kStart, StartOf(limited), kStart, StatesLimit(1));
   const Instant silent = kStart + milliseconds(4300) * 3;
   BOOST_TEST(!Send(silent - milliseconds(1), 40).contains(limited));
   BOOST_TEST(Send(silent, 40).at(limited) == 1);
 }
 
-// It was chosen freely, and the limit was named while it waited for its
-// connection.
+// The target was chosen without a limit, which was announced while the request
+// waited for its connection.
 BOOST_FIXTURE_TEST_CASE(WhatWasChosenFreelyIsntSentToALimitedTarget,
                         LimitFixture) {
   const auto choice = it.Choose(kStart, Prompt(7, 1));
-  it.OnRate(kStart, choice->target.start, kStart, Names(1));
+  it.OnRate(kStart, choice->target.start, kStart, StatesLimit(1));
   BOOST_TEST(!it.MayStillSend(kStart, *choice, Prompt(7, 1)));
   const auto counted = it.Choose(kStart, Prompt(7, 1));
   BOOST_TEST(counted->is_limited);
   BOOST_TEST(it.MayStillSend(kStart, *counted, Prompt(7, 1)));
 }
 
-// An entry that lapses and comes back doesn't end the limit.
+// An entry that lapses and returns does not end the limit.
 BOOST_FIXTURE_TEST_CASE(ALimitOutlastsItsTargetsEntry, NoOwnerLimitFixture) {
   const TargetName limited = Preferred();
-  it.OnRate(kStart, StartOf(limited), kStart, Names(1));
+  it.OnRate(kStart, StartOf(limited), kStart, StatesLimit(1));
   auto lapsed = targets;
   lapsed.erase(limited);
   it.SetTargets(kStart + milliseconds(100), lapsed);
@@ -290,7 +290,7 @@
   const auto choice = it.Choose(kStart, Prompt(7, 1));
   it.OnBackOff(kStart, StartOf(paused), milliseconds(2000));
   BOOST_TEST(!it.MayStillSend(kStart, *choice, Prompt(7, 1)));
-  // A shorter pause ends none that was asked for before.
+  // A shorter pause does not end an earlier, longer one.
   it.OnBackOff(kStart + milliseconds(500), StartOf(paused), milliseconds(100));
   BOOST_TEST(!Send(kStart + milliseconds(1999), 40).contains(paused));
   BOOST_TEST(Send(kStart + milliseconds(2000), 40).contains(paused));
@@ -313,7 +313,7 @@
   BOOST_TEST(!Send(kStart + milliseconds(100), 40).contains(paused));
 }
 
-// The answer may have been of the new start, whose entry was read later.
+// The answer may have come from the new start, whose entry was read later.
 BOOST_FIXTURE_TEST_CASE(WhatWasSaidLatelyHoldsForTheNextStart, LimitFixture) {
   const TargetName name = Preferred();
   const TargetEntry before = targets.at(name);
@@ -328,7 +328,7 @@
                         LimitFixture) {
   const TargetName name = Preferred();
   it.OnSaysLeaving(kStart, targets.at(name));
-  it.OnRate(kStart, StartOf(name), kStart, Names(0));
+  it.OnRate(kStart, StartOf(name), kStart, StatesLimit(0));
   it.OnBackOff(kStart, StartOf(name), std::chrono::seconds(60));
   targets.at(name).start = TargetStart(name.value + "@2");
   it.SetTargets(kStart + kEntryTellsWithin, targets);
--- a/dispatch/testing/placement_residency_test.cc
+++ b/dispatch/testing/placement_residency_test.cc
@@ -1,4 +1,4 @@
-// Requests that are bound to regions.
+// The choice of targets for requests that are bound to regions.
 
 #include <boost/test/unit_test.hpp>
 #include <map>
@@ -11,8 +11,8 @@
 
 using std::chrono::milliseconds;
 
-// Halls 0 and 1 are in the north, hall 2 in the south, where every third of the
-// targets is.
+// Halls 0 and 1 are in the north. Hall 2, with every third target, is in the
+// south.
 struct Fixture {
   Fixture() { it.SetTargets(kStart, targets); }
 
@@ -36,7 +36,7 @@
     const auto choice = it.Choose(kStart, Bound("south", part));
     BOOST_REQUIRE(choice.has_value());
     BOOST_TEST((choice->target.hall == HallName("hall-2")));
-    // All routers prefer one of that region for its parts.
+    // All routers prefer the same target of that region for its parts.
     BOOST_TEST(choice->is_preferred);
   }
 }
@@ -88,7 +88,7 @@
   BOOST_TEST(!it.Choose(kStart, Bound("south")).has_value());
 }
 
-// A hall that the settings don't name may be anywhere.
+// A hall that is not in the settings may be in any region.
 BOOST_FIXTURE_TEST_CASE(ATargetOfAnUnknownHallGetsNoBoundRequest, Fixture) {
   for (auto& [name, entry] : targets) entry.hall = HallName("hall-9");
   it.SetTargets(kStart, targets);
@@ -96,8 +96,8 @@
   BOOST_TEST(it.Choose(kStart, Prompt(7, 1)).has_value());
 }
 
-// Its entry was written again, in another hall, while the request waited for
-// its connection.
+// The entry of the target was rewritten with another hall while the request
+// waited for its connection.
 BOOST_FIXTURE_TEST_CASE(TheRegionIsLookedAtAgainBeforeTheBytesGo, Fixture) {
   const PlacementRequest request = Bound("south");
   const auto choice = it.Choose(kStart, request);
--- a/dispatch/testing/placement_targets.h
+++ b/dispatch/testing/placement_targets.h
@@ -1,9 +1,9 @@
-// Targets and prompts for the tests of the placement.
+// Targets and prompts for the placement tests.
 //
 //   placement.SetTargets(kStart, Targets(kEngines, 12));
 //   placement.Choose(kStart, Prompt(part, own));
 //
-// The targets are in three halls, "hall-0" to "hall-2", by turns.
+// The targets are in three halls, "hall-0" to "hall-2", in turn.
 
 #ifndef QUAYTRACK_DISPATCH_TESTING_PLACEMENT_TARGETS_H_
 #define QUAYTRACK_DISPATCH_TESTING_PLACEMENT_TARGETS_H_
@@ -34,7 +34,7 @@
   return out;
 }
 
-// Of two parts: one that others may share, and its own.
+// A prompt of two parts: one that others may share, and its own.
 inline PlacementRequest Prompt(std::uint64_t shared, std::uint64_t own) {
   PlacementRequest out;
   out.service = kEngines;
--- a/dispatch/testing/placement_test.cc
+++ b/dispatch/testing/placement_test.cc
@@ -1,4 +1,4 @@
-// Where requests go, and how many retries there are.
+// The choice of a target, and the bound on retries.
 
 #include "dispatch/placement.h"
 
@@ -28,7 +28,7 @@
     BOOST_TEST(a->is_preferred);
     preferred.insert(a->target.name);
   }
-  // Spread over the targets, and not all at one.
+  // The preferred targets are spread.
   BOOST_TEST(preferred.size() >= 8U);
 }
 
@@ -114,8 +114,8 @@
   BOOST_TEST((it.Choose(kStart, request)->target.name != TargetName("t1")));
 }
 
-// Two targets of one service, of which `busy` has so much to do that any other
-// is cheaper, whatever it is charged for failures.
+// Two targets of one service. `busy` is so loaded that the other is cheaper,
+// whatever the charge for its failures.
 struct OneBusyTarget {
   OneBusyTarget() {
     it.SetTargets(kStart, Targets(kDesk, 2));
@@ -222,8 +222,7 @@
   }
 }
 
-// One engine in the router's hall: what it is expected to cost shows what is
-// known of it.
+// One engine in the router's hall; its expected cost shows what is known of it.
 struct OneEngine {
   OneEngine() { it.SetTargets(kStart, Targets(kEngines, 1)); }
 
@@ -239,11 +238,12 @@
 };
 
 BOOST_FIXTURE_TEST_CASE(AnEngineIsChargedWhatItHasYetToPrefill, OneEngine) {
-  // Preferred: the last part alone, 3000 tokens at 50 a millisecond, and 40 ms.
+  // Preferred: only the last part, 3000 tokens at 50 a millisecond, plus 40 ms.
   BOOST_TEST(Cost(Prompt(7, 1)) == 60 + 40);
   const Tokens prefill = Send(Prompt(7, 1), true);
   BOOST_TEST(prefill == 3000);
-  // Beside it: its 60 ms and 3 ms for each running request.
+  // A second one: also the 60 ms of the first, and 3 ms for each running
+  // request.
   BOOST_TEST(Cost(Prompt(7, 2)) == 60 + 60 + 3 + 40);
   it.OnAnswering(engine, prefill, milliseconds(100));
   BOOST_TEST(Cost(Prompt(7, 2)) == 60 + 3 + 40);
@@ -264,7 +264,7 @@
   request.prompt_tokens = 7500;
   BOOST_TEST(Send(request, false) == 7500);
   BOOST_TEST(Send(request, false) == 500);
-  // Parts count only together with all before them.
+  // Parts count only if all parts before them are cached.
   request.parts[1].id = 9;
   BOOST_TEST(Send(request, false) == 6500);
 }
@@ -281,12 +281,12 @@
 
 BOOST_FIXTURE_TEST_CASE(ASlowAnswerMakesAnEngineDearer, OneEngine) {
   const Tokens prefill = Send(Prompt(7, 1), true);
-  // Ten times the 100 ms that were expected.
+  // Ten times the expected 100 ms.
   it.OnAnswering(engine, prefill, milliseconds(1000));
   it.OnEnded(kStart, engine, 0, PlacementOutcome::kGood);
   BOOST_TEST(Cost(Prompt(7, 2)) == 100 * 1.2,
              boost::test_tools::tolerance(1e-6));
-  // Faster than expected is as good as expected.
+  // An answer that is faster than expected counts as expected.
   const Tokens next = Send(Prompt(7, 3), true);
   it.OnAnswering(engine, next, milliseconds(1));
   it.OnEnded(kStart, engine, 0, PlacementOutcome::kGood);
@@ -313,8 +313,8 @@
     it.OnSent(kStart, choice->target.name, request, true);
     ++sent;
   }
-  // There: 100 ms and 63 ms for each before. Elsewhere: 320 ms to read all,
-  // 40 ms, and 150 ms as it isn't the preferred one.
+  // At the preferred target: 100 ms, and 63 ms for each one before. Elsewhere:
+  // 320 ms to prefill all, 40 ms, and 150 ms for not being preferred.
   BOOST_TEST(sent == 7);
 }
 
@@ -323,7 +323,7 @@
   one.Send(Prompt(7, 1), true);
   one.it.SetTargets(kStart, Targets(kEngines, 1));
   BOOST_TEST(one.Cost(Prompt(7, 2)) == 60 + 60 + 3 + 40);
-  // One that was gone is new when it comes again.
+  // A target that was gone starts without history when it is listed again.
   one.it.SetTargets(kStart, {});
   one.it.SetTargets(kStart, Targets(kEngines, 1));
   BOOST_TEST(one.Cost(Prompt(7, 2)) == 60 + 40);
@@ -339,7 +339,7 @@
   for (int router = 0; router < kRouters; ++router) {
     RetryShare it(options);
     it.SetRouters(kRouters);
-    // All of the load may be at one router.
+    // The worst case: all load at one router.
     const int requests = router == 0 ? kRequests : 0;
     for (int n = 0; n < requests; ++n) it.OnRequest(kStart);
     for (int n = 0; n < 1000; ++n) retries += it.TryRetry(kStart) ? 1 : 0;
@@ -356,7 +356,7 @@
   for (int n = 0; n < 100; ++n) it.OnRequest(kStart);
   int retries = 0;
   while (it.TryRetry(kStart)) ++retries;
-  // 0.8 of 20 for the requests and 50 of slack.
+  // 0.8 x (20 for the requests + 50 of slack).
   BOOST_TEST(retries == 56);
 }
 
@@ -367,12 +367,12 @@
   BOOST_TEST(it.TryRetry(kStart + milliseconds(10001)));
 }
 
-// --- What peers tell ---------------------------------------------------------
+// --- Reports of peers --------------------------------------------------------
 
 BOOST_AUTO_TEST_CASE(ANewRouterTakesThePrefillSpeedFromItsPeers) {
   Placement it(HallName("hall-0"));
   it.SetTargets(kStart, Targets(kEngines, 1));
-  // 3,000 tokens at the first guess, and at 30 tokens a millisecond.
+  // 3,000 tokens at the initial speed, and at 30 tokens a millisecond.
   BOOST_TEST(it.Choose(kStart, Prompt(7, 1))->first_event_ms == 60 + 40);
   it.SetPeerSpeeds({{kEngines, {1.0 / 30, 70, 100}}});
   BOOST_TEST(it.Choose(kStart, Prompt(7, 1))->first_event_ms == 100 + 70,
@@ -403,7 +403,7 @@
   BOOST_TEST(cost(Duration::zero()) == alone + 300);
   BOOST_TEST(cost(milliseconds(200)) == alone + 100);
   BOOST_TEST(cost(milliseconds(300)) == alone);
-  // However much is told, the engine is not ruled out for long.
+  // However much is reported, the engine is not excluded for long.
   it.OnPeerSent(kStart, TargetName("t0"), 1'000'000'000);
   BOOST_TEST(cost(Duration::zero()) == alone + 3000);
   it.OnPeerSent(kStart, TargetName("gone"), 5000);
@@ -420,7 +420,7 @@
   BOOST_TEST((it.Choose(later, Prompt(7, 1))->target.name == preferred));
 }
 
-// What started again holds no prompts, runs nothing and hasn't failed.
+// A target that restarted has no cached prompts, running requests or failures.
 BOOST_AUTO_TEST_CASE(ATargetThatStartsAgainIsKnownAnew) {
   Placement it{HallName("hall-1")};
   TargetEntry entry;
--- a/dispatch/testing/placement_version_test.cc
+++ b/dispatch/testing/placement_version_test.cc
@@ -16,7 +16,7 @@
 const VersionName kOld("v1");
 const VersionName kNew("v2");
 
-// Twelve engines of the present version, and later twelve of another.
+// Twelve engines of the current version, and later twelve of another.
 struct Fixture {
   Fixture() {
     for (auto& [name, entry] : targets) entry.version = kOld;
@@ -39,7 +39,7 @@
     rule.next_alone = alone;
     it.SetVersionRule(kEngines, rule, 0);
   }
-  // Sends prompts of many parts; returns how many each target got.
+  // Sends prompts with 40 different parts; returns how many each target got.
   std::map<TargetName, int> Send(Instant now, int n) {
     std::map<TargetName, int> sent;
     for (int i = 0; i < n; ++i) {
@@ -64,7 +64,8 @@
   Placement it{HallName("hall-0")};
 };
 
-// Its targets were listed before the order was known, and got half of all.
+// Regression: the targets of a version were listed before the order on it was
+// known, and got half of all requests.
 BOOST_FIXTURE_TEST_CASE(AVersionWaitsAMomentForOperatorsWord, Fixture) {
   StartNew(kStart + seconds(10));
   BOOST_TEST(SentToNew(Send(kStart + seconds(10), 100)) == 0);
@@ -80,7 +81,7 @@
   BOOST_TEST(SentToNew(Send(kStart + seconds(10), 10)) == 10);
 }
 
-// Both were there before this router.
+// Both versions existed before this router started.
 BOOST_AUTO_TEST_CASE(VersionsOfTheFirstListDontWait) {
   auto targets = Targets(kEngines, 12);
   for (auto& [name, entry] : targets) {
@@ -100,12 +101,12 @@
   StartNew(kStart);
   const auto sent = Send(kStart, 400);
   BOOST_TEST(SentToNew(sent) == 100);
-  int takers = 0;
+  int targets_used = 0;
   for (const auto& [name, n] : sent) {
-    takers += targets.at(name).version == kNew ? 1 : 0;
+    targets_used += targets.at(name).version == kNew ? 1 : 0;
   }
-  // As many as a quarter of the twelve others.
-  BOOST_TEST(takers == 3);
+  // A quarter of the number of the twelve others.
+  BOOST_TEST(targets_used == 3);
 }
 
 BOOST_FIXTURE_TEST_CASE(ARetryOfWhatMetItGoesToTheOthers, Fixture) {
@@ -146,7 +147,7 @@
   BOOST_TEST(SentToNew(Send(kStart, 200)) == 200);
 }
 
-// It was withdrawn while the request waited for its connection.
+// The version was withdrawn while the request waited for its connection.
 BOOST_FIXTURE_TEST_CASE(TheVersionIsLookedAtAgainBeforeTheBytesGo, Fixture) {
   SetRule(1, false);
   StartNew(kStart);
--- a/dispatch/testing/prefill_speed_test.cc
+++ b/dispatch/testing/prefill_speed_test.cc
@@ -1,4 +1,4 @@
-// How fast a service's engines prefill, learned from answers.
+// The prefill speed of the engines of a service, learned from answers.
 
 #include "dispatch/prefill_speed.h"
 
@@ -13,8 +13,8 @@
 namespace quaytrack {
 namespace {
 
-// An engine that takes `base` and `per_token` milliseconds, three in ten of
-// whose answers wait up to 400 ms for prompts of other routers.
+// An engine that takes `base` milliseconds plus `per_token` per token. Three in
+// ten of its answers also wait up to 400 ms for prompts of other routers.
 struct BusyEngine {
   double base = 0;
   double per_token = 0;
@@ -26,7 +26,7 @@
     return base + per_token * static_cast<double>(tokens) + other;
   }
 
-  // Short prompts and long ones, as a router sends them.
+  // Feeds a mix of short and long prompts, as a router sends them.
   void Teach(PrefillSpeed& speed, int answers) {
     std::lognormal_distribution<double> size(0, 1);
     for (int n = 0; n < answers; ++n) {
@@ -84,9 +84,9 @@
   fresh.OnPeerLine(old.line());
   BOOST_TEST(fresh.PrefillMs(1000) == old.PrefillMs(1000));
   engine.Teach(fresh, 200);
-  const double own = fresh.PrefillMs(1000);
+  const double learned_ms = fresh.PrefillMs(1000);
   fresh.OnPeerLine({.ms_per_token = 0.5, .base_ms = 9, .answers = 1000});
-  BOOST_TEST(fresh.PrefillMs(1000) == own);
+  BOOST_TEST(fresh.PrefillMs(1000) == learned_ms);
 }
 
 BOOST_AUTO_TEST_CASE(NonsenseLeavesTheLineWithinItsBounds) {
--- a/dispatch/testing/target_warmth_test.cc
+++ b/dispatch/testing/target_warmth_test.cc
@@ -1,4 +1,5 @@
-// What a router takes a target for that may have started again.
+// When a router treats a target as cold, in particular if it may have
+// restarted.
 
 #include "dispatch/target_warmth.h"
 
@@ -21,13 +22,13 @@
   BOOST_TEST(!it.IsCold(kStart + seconds(2)));
 }
 
-// Whoever says less may be speaking of an earlier time.
+// A shorter time may be from an older report.
 BOOST_AUTO_TEST_CASE(NothingMakesItWarmSooner) {
   TargetWarmth it;
   it.OnCold(kStart, seconds(3), ColdSign::kStart);
   it.OnCold(kStart + seconds(1), milliseconds(0), ColdSign::kEntry);
   BOOST_TEST(it.IsCold(kStart + milliseconds(2999)));
-  BOOST_TEST((it.sign() == ColdSign::kStart));
+  BOOST_TEST((it.reason() == ColdSign::kStart));
 }
 
 BOOST_AUTO_TEST_CASE(OneThatSaysYearsIsNotShutOut) {
@@ -42,9 +43,10 @@
   TargetWarmth it;
   it.OnLost(kStart);
   BOOST_TEST(it.IsCold(kStart));
-  BOOST_TEST((it.sign() == ColdSign::kLost));
-  BOOST_TEST(it.IsCold(kStart + TargetWarmth::kDoubt - milliseconds(1)));
-  BOOST_TEST(!it.IsCold(kStart + TargetWarmth::kDoubt));
+  BOOST_TEST((it.reason() == ColdSign::kLost));
+  BOOST_TEST(
+      it.IsCold(kStart + TargetWarmth::kUncertainTime - milliseconds(1)));
+  BOOST_TEST(!it.IsCold(kStart + TargetWarmth::kUncertainTime));
 }
 
 BOOST_AUTO_TEST_CASE(AnAnswerToALaterRequestMayComeFromANewStart) {
@@ -63,7 +65,7 @@
   BOOST_TEST(!it.IsCold(kStart + seconds(1)));
 }
 
-// It was on its way when the target ended.
+// The answer may have been in flight when the target ended.
 BOOST_AUTO_TEST_CASE(AnAnswerThatWasOnItsWayShowsNothing) {
   TargetWarmth it;
   it.OnLost(kStart);
--- a/dispatch/testing/version_gate_test.cc
+++ b/dispatch/testing/version_gate_test.cc
@@ -1,4 +1,4 @@
-// How many of a router's requests a version gets, and which versions get any.
+// How many requests of a router each version gets.
 
 #include "dispatch/version_gate.h"
 
@@ -32,8 +32,8 @@
 BOOST_AUTO_TEST_CASE(WithoutARuleAnyVersionTakesTurns) {
   VersionGate it;
   BOOST_TEST((it.Turn() == VersionTurn::kAny));
-  BOOST_TEST(it.Takes(VersionTurn::kAny, kOld));
-  BOOST_TEST(it.Takes(VersionTurn::kAny, VersionName()));
+  BOOST_TEST(it.MayTake(VersionTurn::kAny, kOld));
+  BOOST_TEST(it.MayTake(VersionTurn::kAny, VersionName()));
 }
 
 BOOST_AUTO_TEST_CASE(AVersionGetsItsShareOfARoutersRequests) {
@@ -45,15 +45,15 @@
   }
 }
 
-// A thousand routers with a few requests each: what one of them may send is
-// less than a request.
+// About a thousand routers with a few requests each: the share of one router is
+// less than one request.
 BOOST_AUTO_TEST_CASE(RoutersWithFewRequestsSendTheirPartTogether) {
   std::mt19937 random(7);
-  std::uniform_real_distribution<double> begin(0, 1);
+  std::uniform_real_distribution<double> offset(0, 1);
   int sent = 0;
   for (int n = 0; n < 985; ++n) {
     VersionGate it;
-    it.SetRule(Share(0.06), begin(random));
+    it.SetRule(Share(0.06), offset(random));
     sent += Send(it, 3);
   }
   BOOST_TEST(sent >= 985 * 3 * 0.06 * 0.7);
@@ -84,8 +84,8 @@
   rule.others = false;
   it.SetRule(rule, 0);
   BOOST_TEST((it.Turn() == VersionTurn::kAny));
-  BOOST_TEST(it.Takes(VersionTurn::kAny, kNew));
-  BOOST_TEST(!it.Takes(VersionTurn::kAny, kOld));
+  BOOST_TEST(it.MayTake(VersionTurn::kAny, kNew));
+  BOOST_TEST(!it.MayTake(VersionTurn::kAny, kOld));
 }
 
 BOOST_AUTO_TEST_CASE(ABarredVersionGetsNothing) {
@@ -94,7 +94,7 @@
   rule.barred = {kNew};
   it.SetRule(rule, 0);
   BOOST_TEST(!it.Admits(kNew));
-  BOOST_TEST(it.Takes(VersionTurn::kAny, kOld));
+  BOOST_TEST(it.MayTake(VersionTurn::kAny, kOld));
 }
 
 }  // namespace
--- a/dispatch/version_gate.h
+++ b/dispatch/version_gate.h
@@ -1,19 +1,19 @@
-// VersionGate: which version's targets a request of one service may go to,
-// while operators move the service to another version (rollout/rollout.h).
+// VersionGate: which version's targets a request of one service may go to while
+// operators move the service to another version (rollout/rollout.h).
 //
 //   VersionGate gate;
-//   gate.SetRule(rule, random_part);
+//   gate.SetRule(rule, random_offset);
 //   if (gate.Admits(version)) ...            // may get requests at all
-//   switch (gate.Turn()) ...                 // whose turn it is
+//   switch (gate.Turn()) ...                 // which version is next
 //   gate.OnSent(version);
 //
-// The next version gets its share by counting, and not by chance: of each
-// router's own requests, so many times the share, from a random beginning. The
-// sum over all routers is then at most the share of all their requests and a
-// part of one for each of them, whoever starts again, and a router with few
-// requests sends its part too.
+// The next version gets its share by counting rather than by chance: each
+// router counts its own requests and multiplies them by the share, from a
+// random offset. The total over all routers is then at most the share of all
+// their requests plus a fraction of a request for each router, even when
+// routers restart, and a router with few requests sends its share too.
 //
-// It owns the rule and two counts, which start anew with each share.
+// Owns the rule and two counts, which restart with each change of the share.
 
 #ifndef QUAYTRACK_DISPATCH_VERSION_GATE_H_
 #define QUAYTRACK_DISPATCH_VERSION_GATE_H_
@@ -29,34 +29,34 @@
 struct VersionRule {
   // Empty if no version is being rolled out.
   VersionName next;
-  // Part of the requests that it gets.
+  // Share of the requests that the next version gets.
   double share = 0;
-  // Other versions may get requests.
+  // Whether other versions may get requests.
   bool others = true;
-  // It may get requests where no other version has a target.
+  // Whether the next version may get requests if no other version has a target.
   bool next_alone = true;
-  // These get none.
+  // Versions that get no requests.
   std::set<VersionName> barred;
 
   bool operator==(const VersionRule&) const = default;
 };
 
-// Whose turn it is.
+// Which version gets the next request.
 enum class VersionTurn {
   kAny,
-  kNext,    // the next version's; others take it if it has no target
-  kOthers,  // theirs alone, as long as one of them has a target
+  kNext,    // the next version; other versions if it has no target
+  kOthers,  // other versions only, as long as one of them has a target
 };
 
 class VersionGate {
  public:
   const VersionRule& rule() const { return rule_; }
-  // `begin` in [0, 1) is where this router's counting begins.
-  void SetRule(VersionRule rule, double begin) {
+  // `offset` in [0, 1) is the initial value of the count.
+  void SetRule(VersionRule rule, double offset) {
     if (rule.share != rule_.share || rule.next != rule_.next) {
       sent_ = 0;
       sent_next_ = 0;
-      begin_ = begin;
+      offset_ = offset;
     }
     rule_ = std::move(rule);
   }
@@ -64,7 +64,7 @@
   bool IsNext(const VersionName& version) const {
     return !rule_.next.empty() && version == rule_.next;
   }
-  // Whether a request may go there, be it its turn or not.
+  // Whether a request may go to the version at all, whatever the turn.
   bool Admits(const VersionName& version) const {
     if (rule_.barred.contains(version)) return false;
     if (IsNext(version)) return rule_.share > 0 || rule_.next_alone;
@@ -72,12 +72,12 @@
   }
   VersionTurn Turn() const {
     if (rule_.next.empty() || !rule_.others) return VersionTurn::kAny;
-    const double due = rule_.share * (static_cast<double>(sent_) + 1) + begin_;
+    const double due = rule_.share * (static_cast<double>(sent_) + 1) + offset_;
     return static_cast<double>(sent_next_) + 1 <= due ? VersionTurn::kNext
                                                       : VersionTurn::kOthers;
   }
-  // Whether a target of this version may take a turn.
-  bool Takes(VersionTurn turn, const VersionName& version) const {
+  // Whether a target of this version may get the request of this turn.
+  bool MayTake(VersionTurn turn, const VersionName& version) const {
     if (!Admits(version)) return false;
     if (turn == VersionTurn::kAny) return true;
     return IsNext(version) == (turn == VersionTurn::kNext);
@@ -90,8 +90,8 @@
 
  private:
   VersionRule rule_;
-  double begin_ = 0;
-  // Since the share was set.
+  double offset_ = 0;
+  // Requests since the share was set.
   std::uint64_t sent_ = 0;
   std::uint64_t sent_next_ = 0;
 };
