--- a/rollout/evidence.cc
+++ b/rollout/evidence.cc
@@ -3,13 +3,14 @@
 namespace quaytrack {
 namespace {
 
-// Routes beyond that are counted together, as operators may configure many.
-constexpr std::size_t kMostRoutes = 32;
+// Operators may configure many routes. Those beyond this number are counted
+// together, under `kOtherRoutes`.
+constexpr std::size_t kMaxRoutes = 32;
 constexpr char kOtherRoutes[] = "";
 
 RouteEvidence& At(RoutesEvidence& routes, const std::string& route) {
   const bool is_new = !routes.contains(route);
-  return routes[is_new && routes.size() >= kMostRoutes ? kOtherRoutes : route];
+  return routes[is_new && routes.size() >= kMaxRoutes ? kOtherRoutes : route];
 }
 
 void MergeRoutes(RoutesEvidence& into, const RoutesEvidence& from) {
@@ -25,12 +26,12 @@
 }  // namespace
 
 void VersionEvidence::Add(const std::string& route, bool is_next,
-                          const AnswerSeen& answer) {
+                          const AnswerSeen& outcome) {
   RouteEvidence& out = At(is_next ? next : current, route);
   ++out.answers;
-  if (answer.failed) ++out.failed;
-  if (answer.first) out.first.Add(*answer.first);
-  if (answer.pause) out.pause.Add(*answer.pause);
+  if (outcome.failed) ++out.failed;
+  if (outcome.first) out.first.Add(*outcome.first);
+  if (outcome.pause) out.pause.Add(*outcome.pause);
 }
 
 void VersionEvidence::Merge(const VersionEvidence& other) {
--- a/rollout/evidence.h
+++ b/rollout/evidence.h
@@ -1,12 +1,14 @@
-// What answers show of a service's versions: counts by route, of the version
-// that is rolled out and of the others, which many routers add up.
+// VersionEvidence: counts of the answers of a service by route, separately for
+// the version that is rolled out and for the others. The counts of many routers
+// can be added.
 //
 //   VersionEvidence it;
-//   it.Add("review", answer);
+//   it.Add("review", /*is_next=*/true, outcome);
 //   total.Merge(it);
 //
-// Both versions are counted at the same time on the same routes, so that load,
-// dark halls and troubles of callers, which meet both, speak against neither.
+// Both versions are counted at the same time and on the same routes, so that
+// load, dark halls and problems of callers affect both alike and count against
+// neither.
 
 #ifndef QUAYTRACK_ROLLOUT_EVIDENCE_H_
 #define QUAYTRACK_ROLLOUT_EVIDENCE_H_
@@ -22,10 +24,10 @@
 
 // How one attempt at a target ended.
 struct AnswerSeen {
-  // A failure of the target: an error of its own, or no whole answer.
+  // The target failed: it answered with an error of its own, or not completely.
   bool failed = false;
-  // Time until the answer began, over the time that was expected for what had
-  // to be prefilled; in milliseconds where nothing is expected.
+  // Time until the answer began, divided by the time expected for the tokens to
+  // be prefilled; in milliseconds if no time is expected.
   std::optional<double> first;
   // Milliseconds between two events, on average.
   std::optional<double> pause;
@@ -43,19 +45,19 @@
 // By the route's name.
 using RoutesEvidence = std::map<std::string, RouteEvidence>;
 
-// Of one service.
+// The evidence on one service.
 struct VersionEvidence {
-  // The version that is rolled out, and all others.
+  // The version that is rolled out, and all other versions.
   RoutesEvidence next;
   RoutesEvidence current;
 
-  void Add(const std::string& route, bool is_next, const AnswerSeen& answer);
+  void Add(const std::string& route, bool is_next, const AnswerSeen& outcome);
   void Merge(const VersionEvidence& other);
 
   bool operator==(const VersionEvidence&) const = default;
 };
 
-// Answers on all routes.
+// Number of answers on all routes.
 std::uint64_t AnswersOf(const RoutesEvidence& routes);
 
 }  // namespace quaytrack
--- a/rollout/order_book.h
+++ b/rollout/order_book.h
@@ -1,16 +1,17 @@
-// OrderBook: the orders to move services to other versions, as the store has
-// them.
+// RolloutOrders: the orders in the store to move services to other versions.
 //
-//   OrderBook book;
-//   for (const ServiceName& it : book.Replace(orders, revision)) ...  //
-//   changed if (book.Put(order)) ... if (book.Remove(service)) ... for (const
-//   ServiceName& it : book.DropCarried()) ...     // some time later
+//   RolloutOrders all;
+//   for (const ServiceName& it : all.Replace(orders, revision)) ...
+//   if (all.Put(order)) ...
+//   if (all.Remove(service)) ...
+//   for (const ServiceName& it : all.DropCarried()) ...  // some time later
 //
-// A store that comes back from an older copy of itself may lack an order that
-// operators write again soon. So the first reading of a later era takes no
-// order away; what isn't written again until `DropCarried` is gone.
+// A store that was restored from an older copy may lack an order that operators
+// are about to write again. The first reading of a later era therefore removes
+// no order: the missing ones are carried over, and `DropCarried` removes those
+// that were not written again by then.
 //
-// It owns the orders, reads no clock and reports no errors.
+// Owns the orders; does not read the clock; cannot fail.
 
 #ifndef QUAYTRACK_ROLLOUT_ORDER_BOOK_H_
 #define QUAYTRACK_ROLLOUT_ORDER_BOOK_H_
@@ -28,12 +29,13 @@
 
 class OrderBook {
  public:
-  // All orders there are, as of `revision`. Returns the services whose order is
-  // new, another one, or gone.
+  // Takes all orders in the store as of `revision`. Returns the services whose
+  // order is new, changed or removed.
   std::vector<ServiceName> Replace(const std::vector<RolloutOrder>& orders,
                                    StoreRevision revision) {
-    const bool is_later_era = known_ && revision.era > known_->era;
-    known_ = revision;
+    const bool is_later_era =
+        last_revision_ && revision.era > last_revision_->era;
+    last_revision_ = revision;
     std::vector<ServiceName> out;
     std::set<ServiceName> missing;
     for (const auto& [service, order] : orders_) missing.insert(service);
@@ -51,7 +53,7 @@
     return out;
   }
 
-  // Whether that changes anything.
+  // Return whether anything changed.
   bool Put(const RolloutOrder& order) {
     carried_.erase(order.service);
     const auto it = orders_.find(order.service);
@@ -81,9 +83,9 @@
 
  private:
   std::map<ServiceName, RolloutOrder> orders_;
-  // Not in the store's latest copy of itself.
+  // Services whose order is carried over but missing in the store.
   std::set<ServiceName> carried_;
-  std::optional<StoreRevision> known_;
+  std::optional<StoreRevision> last_revision_;
 };
 
 }  // namespace quaytrack
--- a/rollout/rollout.cc
+++ b/rollout/rollout.cc
@@ -26,33 +26,34 @@
   return action;
 }
 
-Duration Rollout::Part(double part) const {
-  return std::chrono::duration_cast<Duration>(order_.duration * part);
+Duration Rollout::ShareOfDuration(double share) const {
+  return std::chrono::duration_cast<Duration>(order_.duration * share);
 }
 
 Duration Rollout::Elapsed(Instant now) const {
   return now - (deadline_ - order_.duration);
 }
 
-// --- What others tell --------------------------------------------------------
+// --- Reports of other routers ------------------------------------------------
 
 void Rollout::OnReport(Instant now, const Incarnation& from, bool from_decider,
-                       const RolloutReport& report, const RolloutScene& scene) {
+                       const RolloutReport& report,
+                       const RolloutScene& context) {
   const bool is_this =
       report.version == order_.version && report.order == order_.revision;
   if (!is_this) return;
   const bool is_sum = report.counted_by.empty();
-  if (is_sum ? !from_decider : report.counted_by != scene.self) return;
-  heard_[from] = {report, now, from_decider};
+  if (is_sum ? !from_decider : report.counted_by != context.self) return;
+  reports_[from] = {report, now, from_decider};
   if (!from_decider) return;
-  // Who has seen the order first knows best when its time is over.
+  // The router that saw the order first knows its deadline best.
   deadline_ =
       std::min(deadline_, now + std::max(report.left, Duration::zero()));
-  if (scene.self != VmOf(from)) Follow(report.state, now);
+  if (context.self != VmOf(from)) Follow(report.state, now);
 }
 
-void Rollout::Follow(RolloutState told, Instant now) {
-  switch (told) {
+void Rollout::Follow(RolloutState reported, Instant now) {
+  switch (reported) {
     case RolloutState::kUnheard:
       return;
     case RolloutState::kCompleted:
@@ -66,61 +67,62 @@
       return;
     default:
       if (state() == RolloutState::kUnheard) Apply(RolloutEvent::kBegun, now);
-      while (state() < told && state() < RolloutState::kFull) {
+      while (state() < reported && state() < RolloutState::kFull) {
         Apply(RolloutEvent::kAdvance, now);
       }
   }
 }
 
 void Rollout::ForgetSilent(Instant now) {
-  std::erase_if(heard_, [now](const auto& it) {
-    return now - it.second.at > kSilentAfter;
+  std::erase_if(reports_, [now](const auto& it) {
+    return now - it.second.at > kReportTimeout;
   });
 }
 
-bool Rollout::IsAssigned(const Heard& it, const RolloutScene& scene) const {
-  return it.report.counted_by == scene.self;
+bool Rollout::IsAssigned(const ReceivedReport& it,
+                         const RolloutScene& context) const {
+  return it.report.counted_by == context.self;
 }
 
-bool Rollout::IsCurrent(Instant now, const RolloutScene& scene) const {
-  const auto heard =
-      std::count_if(heard_.begin(), heard_.end(), [now](const auto& it) {
-        return it.second.from_decider && now - it.second.at <= kFreshFor;
+bool Rollout::IsCurrent(Instant now, const RolloutScene& context) const {
+  const auto reporting =
+      std::count_if(reports_.begin(), reports_.end(), [now](const auto& it) {
+        return it.second.from_decider && now - it.second.at <= kDeciderTimeout;
       });
-  if (!scene.decides) return heard > 0;
-  return (static_cast<std::size_t>(heard) + 1) * 2 > scene.deciders;
+  if (!context.decides) return reporting > 0;
+  return (static_cast<std::size_t>(reporting) + 1) * 2 > context.deciders;
 }
 
 // --- Sums --------------------------------------------------------------------
 
-VersionEvidence Rollout::Total(const RolloutScene& scene) const {
-  VersionEvidence out = own_;
-  for (const auto& [from, it] : heard_) {
+VersionEvidence Rollout::Total(const RolloutScene& context) const {
+  VersionEvidence out = local_evidence_;
+  for (const auto& [from, it] : reports_) {
     const bool is_sum = it.report.counted_by.empty();
-    if (is_sum || IsAssigned(it, scene)) out.Merge(it.report.evidence);
+    if (is_sum || IsAssigned(it, context)) out.Merge(it.report.evidence);
   }
   return out;
 }
 
-bool Rollout::IsDrainedHere(const RolloutScene& scene) const {
-  return state() == RolloutState::kFull && scene.running_elsewhere == 0;
+bool Rollout::IsDrainedHere(const RolloutScene& context) const {
+  return state() == RolloutState::kFull && context.running_elsewhere == 0;
 }
 
-RolloutReport Rollout::Report(Instant now, const RolloutScene& scene) const {
+RolloutReport Rollout::Report(Instant now, const RolloutScene& context) const {
   RolloutReport out;
   out.version = order_.version;
   out.order = order_.revision;
   out.state = state();
   out.left = deadline_ - now;
   if (IsOver()) return out;
-  out.evidence = own_;
-  out.drained = IsDrainedHere(scene);
-  if (!scene.decides) {
-    out.counted_by = scene.counted_by;
+  out.evidence = local_evidence_;
+  out.drained = IsDrainedHere(context);
+  if (!context.decides) {
+    out.counted_by = context.counted_by;
     return out;
   }
-  for (const auto& [from, it] : heard_) {
-    if (!IsAssigned(it, scene)) continue;
+  for (const auto& [from, it] : reports_) {
+    if (!IsAssigned(it, context)) continue;
     out.evidence.Merge(it.report.evidence);
     out.drained = out.drained && it.report.drained;
     out.routers += it.report.routers;
@@ -128,64 +130,69 @@
   return out;
 }
 
-// Routers that tell nothing are waited for until they would have told.
-bool Rollout::IsDrained(Instant now, const RolloutScene& scene) const {
-  const RolloutReport own = Report(now, scene);
-  if (!own.drained) return false;
-  std::uint64_t routers = own.routers;
-  for (const auto& [from, it] : heard_) {
+// Routers without a report are waited for until `kReportTimeout` has passed
+// since the last change of state.
+bool Rollout::IsDrained(Instant now, const RolloutScene& context) const {
+  const RolloutReport local = Report(now, context);
+  if (!local.drained) return false;
+  std::uint64_t routers = local.routers;
+  for (const auto& [from, it] : reports_) {
     if (!it.report.counted_by.empty()) continue;
     if (!it.report.drained) return false;
     routers += it.report.routers;
   }
-  return routers >= scene.routers || now - changed_at_ > kSilentAfter;
+  return routers >= context.routers || now - changed_at_ > kReportTimeout;
 }
 
 // --- Decisions ---------------------------------------------------------------
 
-RolloutAction Rollout::Step(Instant now, const RolloutScene& scene) {
+RolloutAction Rollout::Step(Instant now, const RolloutScene& context) {
   ForgetSilent(now);
-  if (!scene.decides || IsOver() || state() == RolloutState::kWithdrawn) {
+  if (!context.decides || IsOver() || state() == RolloutState::kWithdrawn) {
     return RolloutAction::kNone;
   }
   if (IsJudged()) {
-    judge_.Observe(Total(scene));
-    if (judge_.IsBad()) return Apply(RolloutEvent::kWithdraw, now);
+    evaluator_.Observe(Total(context));
+    if (evaluator_.IsBad()) return Apply(RolloutEvent::kWithdraw, now);
   }
-  const bool is_late = now > deadline_ - Part(kLastPart);
-  if (is_late && state() != RolloutState::kFull) {
+  const bool is_near_deadline =
+      now > deadline_ - ShareOfDuration(kReservedShare);
+  if (is_near_deadline && state() != RolloutState::kFull) {
     return Apply(RolloutEvent::kWithdraw, now);
   }
-  if (!IsCurrent(now, scene)) return RolloutAction::kNone;
+  if (!IsCurrent(now, context)) return RolloutAction::kNone;
   switch (state()) {
     case RolloutState::kTrial:
-      return StepOfTrial(now, scene);
+      return StepOfTrial(now, context);
     case RolloutState::kQuarter:
     case RolloutState::kHalf:
       return StepOfMove(now);
     case RolloutState::kFull:
-      if (!IsDrained(now, scene)) return RolloutAction::kNone;
+      if (!IsDrained(now, context)) return RolloutAction::kNone;
       return Apply(RolloutEvent::kDrained, now);
     default:
       return RolloutAction::kNone;
   }
 }
 
-RolloutAction Rollout::StepOfTrial(Instant now, const RolloutScene& scene) {
-  if (!scene.has_next) return RolloutAction::kNone;
+RolloutAction Rollout::StepOfTrial(Instant now, const RolloutScene& context) {
+  if (!context.has_next) return RolloutAction::kNone;
   const Duration elapsed = Elapsed(now);
-  const bool is_good = judge_.IsGood() && elapsed >= Part(kTrialPart);
-  const bool is_time = judge_.IsLeaningGood() && elapsed >= Part(kLongestTrial);
+  const bool is_good =
+      evaluator_.IsGood() && elapsed >= ShareOfDuration(kTrialShare);
+  const bool is_time =
+      evaluator_.IsProbablyGood() && elapsed >= ShareOfDuration(kMaxTrialShare);
   if (!is_good && !is_time) return RolloutAction::kNone;
   return Apply(RolloutEvent::kAdvance, now);
 }
 
 RolloutAction Rollout::StepOfMove(Instant now) {
-  if (now - changed_at_ < Part(kStepPart)) return RolloutAction::kNone;
+  if (now - changed_at_ < ShareOfDuration(kStepShare))
+    return RolloutAction::kNone;
   return Apply(RolloutEvent::kAdvance, now);
 }
 
-RolloutRule Rollout::Rule(Instant now, const RolloutScene& scene) const {
+RolloutRule Rollout::Rule(Instant now, const RolloutScene& context) const {
   RolloutRule out;
   switch (state()) {
     case RolloutState::kCompleted:
@@ -198,7 +205,7 @@
     default:
       break;
   }
-  if (!IsCurrent(now, scene)) return out;
+  if (!IsCurrent(now, context)) return out;
   switch (state()) {
     case RolloutState::kTrial:
       out.share = options_.trial_share;
--- a/rollout/rollout.h
+++ b/rollout/rollout.h
@@ -1,41 +1,44 @@
 // Rollout: one service's move to another version, as one router sees it.
 //
 //   Rollout it(order, now, chart, {trial_share});
-//   it.OnAnswer("review", /*is_next=*/true, answer);
-//   it.OnReport(now, peer, report, scene);      // what other routers tell
-//   switch (it.Step(now, scene)) ...            // some times a second
-//   placement.SetVersionRule(it.Rule(now, scene));
-//   tell(it.Report(now, scene));
+//   it.OnAnswer("review", /*is_next=*/true, outcome);
+//   it.OnReport(now, peer, from_decider, report, context);
+//   switch (it.Step(now, context)) ...          // several times a second
+//   apply(it.Rule(now, context));               // to the placement
+//   send(it.Report(now, context));
 //
-// The rule. A version gets a small part of the requests first, and more when
-// nothing speaks against it (rollout/version_judge.h); the states are
-// chart/charts/rollout.json. Times are parts of the order's duration:
+// Rule: a version gets a small share of the requests first, and more if there
+// is no evidence against it (rollout/version_judge.h). The states are those of
+// chart/charts/rollout.json. Times are shares of the duration of the order:
 //
-//   unheard    none, until the store is known to name it as running
-//   trial      `trial_share`, until kTrialPart of the time has passed and the
-//              answers show that it is good, or kLongestTrial has and nothing
-//              speaks against it
+//   unheard    no requests, until a router has confirmed that the store lists
+//              the order as running
+//   trial      `trial_share`, until kTrialShare of the time has passed and the
+//              answers show that the version is good, or kMaxTrialShare has
+//              passed and there is no evidence against it
 //   quarter, half
-//              a quarter and a half, for kStepPart each
-//   full       all, until nothing runs at the other versions any more
+//              a quarter and a half, for kStepShare of the time each
+//   full       all requests, until nothing runs at the other versions any more
 //
-// It is withdrawn as soon as its answers show that it is bad, and when the time
-// is nearly over before it has all requests.
+// The version is withdrawn as soon as its answers show that it is bad, or if
+// the time is nearly over before it gets all requests.
 //
-// Who decides. A few routers, the deciders, add up what all routers have seen:
-// each router tells one of them, and they tell each other their sums. Each of
-// them may take a step, and all others follow whoever is further, so nobody is
-// elected. Only the store's word ends a roll-out, and the first word stays.
+// Deciders: a few routers, the deciders, add up the evidence of all routers.
+// Each router reports to one of them, and they send each other their sums. Any
+// decider may take a step, and all other routers follow the most advanced
+// state, so no election is needed. Only a change in the store ends a roll-out,
+// and the first such change is final.
 //
-// A router follows the verdict of others only as long as it hears from them:
-// one that has heard of no decider for `kFreshFor`, or a decider that doesn't
-// hear from most of them, sends nothing to the version until it does. So the
-// part that the version gets of all requests is bounded by what each router
-// sends of its own, through any cut or restart, and a router that can't hear
-// that it is withdrawn sends it nothing for longer than that.
+// A router acts on a state only while it is in contact with the deciders. A
+// router that has no report from a decider for `kDeciderTimeout`, or a decider
+// without reports from most others, sends the version no requests until it has.
+// This bounds the share that the version gets of all requests through any
+// network cut or restart: each router limits its own requests, and a router
+// that cannot learn of a withdrawal stops sending to the version within that
+// time.
 //
-// It owns what was seen and told of one order. It reads no clock, and writes
-// nothing: relay/rollout_driver.h does.
+// Owns the evidence and reports on one order. Does not read the clock, and does
+// not write to the store: relay/rollout_driver.h does.
 
 #ifndef QUAYTRACK_ROLLOUT_ROLLOUT_H_
 #define QUAYTRACK_ROLLOUT_ROLLOUT_H_
@@ -54,45 +57,46 @@
 
 namespace quaytrack {
 
-// What one router tells others of a roll-out.
+// What one router sends to others about a roll-out.
 struct RolloutReport {
   VersionName version;
   StoreRevision order;
   RolloutState state = RolloutState::kUnheard;
-  // Until the time of the order is over.
+  // Time left of the duration of the order.
   Duration left{};
-  // The decider that adds it up; empty for a decider's own sum.
+  // The decider that adds up this report; empty for the sum of a decider.
   VmName counted_by;
   VersionEvidence evidence;
-  // The sender, and whoever is in its sum, has nothing running at the other
-  // versions, and sends them nothing more.
+  // The sender, and all routers in its sum, have no requests running at the
+  // other versions and send them no more.
   bool drained = false;
-  // In the sum.
+  // Number of routers in the sum.
   std::uint64_t routers = 1;
 };
 
-// What the router around it knows.
+// The state of the router that a Rollout needs to know.
 struct RolloutScene {
   VmName self;
   // This router is a decider.
   bool decides = false;
-  // Deciders and routers there are, with this one.
+  // Number of deciders and of routers, including this one.
   std::size_t deciders = 1;
   std::size_t routers = 1;
-  // The decider that adds up what this router tells; empty if it reaches none.
+  // The decider that adds up the reports of this router; empty if it reaches
+  // none.
   VmName counted_by;
-  // Some target of the version takes work.
+  // Some target of the version accepts work.
   bool has_next = false;
-  // Requests of this router that run at other versions.
+  // This router's requests that run at other versions.
   std::size_t running_elsewhere = 0;
 };
 
-// Which part of a service's requests may go to which version.
+// Which share of the requests of a service may go to which version.
 struct RolloutRule {
   double share = 0;
-  // Versions other than the next one may get requests.
+  // Whether versions other than the next one may get requests.
   bool others = true;
-  // The next one may get requests where no other version has a target.
+  // Whether the next version may get requests if no other version has a target.
   bool next_alone = true;
 
   bool operator==(const RolloutRule&) const = default;
@@ -101,21 +105,22 @@
 class Rollout {
  public:
   struct Options {
-    // Part of the requests that a version gets on trial.
+    // Share of the requests that a version gets on trial.
     double trial_share = 0.05;
   };
 
-  // Parts of the order's duration.
-  static constexpr double kTrialPart = 0.3;
-  static constexpr double kLongestTrial = 0.55;
-  static constexpr double kStepPart = 0.07;
-  // Kept free before the end, for the store to be told.
-  static constexpr double kLastPart = 0.05;
-  // How long one does without hearing from deciders. They tell each second.
-  static constexpr Duration kFreshFor = std::chrono::milliseconds(1500);
-  // A router that has told nothing for so long isn't waited for, and what it
-  // has seen no longer counts.
-  static constexpr Duration kSilentAfter = std::chrono::milliseconds(3500);
+  // Shares of the duration of the order.
+  static constexpr double kTrialShare = 0.3;
+  static constexpr double kMaxTrialShare = 0.55;
+  static constexpr double kStepShare = 0.07;
+  // Time at the end that is reserved for writing the result to the store.
+  static constexpr double kReservedShare = 0.05;
+  // A state is acted on for this long without a report from a decider. Deciders
+  // report each second.
+  static constexpr Duration kDeciderTimeout = std::chrono::milliseconds(1500);
+  // A router without a report for this long is not waited for, and its evidence
+  // is dropped.
+  static constexpr Duration kReportTimeout = std::chrono::milliseconds(3500);
 
   Rollout(RolloutOrder order, Instant now, const RolloutChart& chart,
           Options options);
@@ -126,63 +131,63 @@
     return state() == RolloutState::kCompleted ||
            state() == RolloutState::kReverted;
   }
-  // Answers are counted.
+  // Whether answers are evaluated in this state.
   bool IsJudged() const {
     return !IsOver() && state() != RolloutState::kUnheard &&
            state() != RolloutState::kWithdrawn;
   }
-  const VersionJudge& judge() const { return judge_; }
+  const VersionJudge& judge() const { return evaluator_; }
 
-  // The order was written again, in a later era of the store.
+  // The same order was written again in a later era of the store.
   void Renew(const RolloutOrder& order) { order_ = order; }
   void OnAnswer(const std::string& route, bool is_next,
-                const AnswerSeen& answer) {
-    own_.Add(route, is_next, answer);
+                const AnswerSeen& outcome) {
+    local_evidence_.Add(route, is_next, outcome);
   }
-  // `from_decider` by this router's list of routers. What is of another order
-  // changes nothing.
+  // `from_decider` is decided by the router list of this router. Reports on
+  // another order are ignored.
   void OnReport(Instant now, const Incarnation& from, bool from_decider,
-                const RolloutReport& report, const RolloutScene& scene);
-  // The store names it as running, completed or rolled back.
-  RolloutAction OnStored(RolloutEvent said, Instant now) {
-    return Apply(said, now);
+                const RolloutReport& report, const RolloutScene& context);
+  // The store lists the order as running, completed or rolled back.
+  RolloutAction OnStored(RolloutEvent event, Instant now) {
+    return Apply(event, now);
   }
-  // What is to be written, if anything.
-  RolloutAction Step(Instant now, const RolloutScene& scene);
+  // Returns what is to be written to the store, if anything.
+  RolloutAction Step(Instant now, const RolloutScene& context);
 
-  RolloutRule Rule(Instant now, const RolloutScene& scene) const;
-  RolloutReport Report(Instant now, const RolloutScene& scene) const;
-  // All that is known here.
-  VersionEvidence Total(const RolloutScene& scene) const;
+  RolloutRule Rule(Instant now, const RolloutScene& context) const;
+  RolloutReport Report(Instant now, const RolloutScene& context) const;
+  // All evidence that is known to this router.
+  VersionEvidence Total(const RolloutScene& context) const;
 
  private:
-  struct Heard {
+  struct ReceivedReport {
     RolloutReport report;
     Instant at{};
     bool from_decider = false;
   };
 
   RolloutAction Apply(RolloutEvent event, Instant now);
-  void Follow(RolloutState told, Instant now);
+  void Follow(RolloutState reported, Instant now);
   void ForgetSilent(Instant now);
-  bool IsCurrent(Instant now, const RolloutScene& scene) const;
-  bool IsAssigned(const Heard& it, const RolloutScene& scene) const;
-  bool IsDrained(Instant now, const RolloutScene& scene) const;
-  bool IsDrainedHere(const RolloutScene& scene) const;
-  Duration Part(double part) const;
+  bool IsCurrent(Instant now, const RolloutScene& context) const;
+  bool IsAssigned(const ReceivedReport& it, const RolloutScene& context) const;
+  bool IsDrained(Instant now, const RolloutScene& context) const;
+  bool IsDrainedHere(const RolloutScene& context) const;
+  Duration ShareOfDuration(double share) const;
   Duration Elapsed(Instant now) const;
-  RolloutAction StepOfTrial(Instant now, const RolloutScene& scene);
+  RolloutAction StepOfTrial(Instant now, const RolloutScene& context);
   RolloutAction StepOfMove(Instant now);
 
   RolloutOrder order_;
   Options options_;
   ChartMachine<RolloutState, RolloutEvent, RolloutAction> machine_;
   Instant deadline_;
-  // Of the latest change of state.
+  // Time of the latest change of state.
   Instant changed_at_;
-  VersionEvidence own_;
-  std::map<Incarnation, Heard> heard_;
-  VersionJudge judge_;
+  VersionEvidence local_evidence_;
+  std::map<Incarnation, ReceivedReport> reports_;
+  VersionJudge evaluator_;
 };
 
 }  // namespace quaytrack
--- a/rollout/rollout_chart.h
+++ b/rollout/rollout_chart.h
@@ -1,15 +1,17 @@
-// The way of a roll-out: chart/charts/rollout.json.
+// The states of a roll-out: chart/charts/rollout.json.
 //
-//   unheard    nobody has shown that the store names it as running
-//   trial      a small part of the requests goes to the version
+//   unheard    no router has confirmed that the store lists the order as
+//              running
+//   trial      a small share of the requests goes to the version
 //   quarter, half, full
-//              nothing speaks against it, and it gets that part
-//   withdrawn  something does; it gets nothing, and the store is to say so
+//              there is no evidence against the version, and it gets this share
+//   withdrawn  there is evidence against the version; it gets no requests, and
+//              the result is to be written to the store
 //   completed, reverted
-//              the store says so, for good
+//              the store says so; both are final
 //
-// The order of the states is that of what is told among routers: a later one
-// takes the place of an earlier one, and nothing goes back.
+// The order of the states is their precedence between routers: a later state
+// replaces an earlier one, and a state never goes back.
 
 #ifndef QUAYTRACK_ROLLOUT_ROLLOUT_CHART_H_
 #define QUAYTRACK_ROLLOUT_ROLLOUT_CHART_H_
@@ -31,9 +33,9 @@
   kReverted,
 };
 enum class RolloutEvent {
-  kBegun,      // the store names it as running
-  kAdvance,    // the version may have more
-  kDrained,    // nothing runs at the other versions, at any router
+  kBegun,      // the store lists the order as running
+  kAdvance,    // the version may get a larger share
+  kDrained,    // no router has requests running at the other versions
   kWithdraw,   // the version is bad, or the time is over
   kCompleted,  // the store says so
   kReverted,   // the store says so
--- a/rollout/rollout_order.h
+++ b/rollout/rollout_order.h
@@ -1,12 +1,12 @@
-// What operators ask for, and what they are told: a service's traffic is to be
-// moved to the targets of another version.
+// RolloutOrder: an order by operators to move the traffic of a service to the
+// targets of another version.
 //
 //   const RolloutOrder order = read(item);    // platform/rollout_json.h
-//   if (order.SameAs(followed) && later_era) go_on(order);
-//   else begin(order);
+//   if (order.IsEquivalentTo(current) && later_era) resume(order);
+//   else start(order);
 //
 // A store that was restored has the same order at a revision of a later era; a
-// roll-out under way then goes on. Within one era, an order that is written
+// roll-out in progress then continues. Within one era, an order that is written
 // again is a new one.
 
 #ifndef QUAYTRACK_ROLLOUT_ROLLOUT_ORDER_H_
@@ -21,14 +21,15 @@
 
 struct RolloutOrder {
   ServiceName service;
-  // Of the targets that are to get all of its requests.
+  // Version of the targets that are to get all of its requests.
   VersionName version;
-  // From the order's writing until the move has to be over, either way.
+  // Time from when the order was written until the move has to be over, whether
+  // completed or reverted.
   std::chrono::milliseconds duration{0};
-  // The store's, of the order's last change.
+  // Revision of the store at the last change of the order.
   StoreRevision revision;
 
-  // Whether both ask for the same.
+  // Whether both orders request the same move; the revision may differ.
   bool SameAs(const RolloutOrder& other) const {
     return service == other.service && version == other.version &&
            duration == other.duration;
--- a/rollout/testing/order_book_test.cc
+++ b/rollout/testing/order_book_test.cc
@@ -1,4 +1,4 @@
-// The orders that are in force, through readings of the store and its returns.
+// The orders that apply as the store is read, and after it was restored.
 
 #include "rollout/order_book.h"
 
@@ -18,7 +18,7 @@
   BOOST_TEST(it.Replace({}, 1).empty());
   BOOST_TEST(it.Put(Order("v2", 2)));
   BOOST_TEST((it.Find(kService)->version == VersionName("v2")));
-  // The same change, read again.
+  // The same change is read again.
   BOOST_TEST(!it.Put(Order("v2", 2)));
   BOOST_TEST(!it.Put(Order("v1", 1)));
   BOOST_TEST(it.Put(Order("v3", 3)));
@@ -34,7 +34,7 @@
   BOOST_TEST(it.Find(kService) == nullptr);
 }
 
-// The copy may be older than the order, and operators write it again.
+// The restored copy may be older than the order, and operators write it again.
 BOOST_AUTO_TEST_CASE(AStoreThatCameBackOlderTakesNoOrderBackAtOnce) {
   OrderBook it;
   it.Replace({Order("v2", {1, 20})}, {1, 20});
--- a/rollout/time_histogram.h
+++ b/rollout/time_histogram.h
@@ -1,5 +1,5 @@
-// TimeHistogram: times, or ratios of times, counted in buckets that grow by
-// half, so that the counts of many routers can be added.
+// TimeHistogram: counts times, or ratios of times, in buckets that grow by a
+// factor of 1.5, so that the counts of many routers can be added.
 //
 //   TimeHistogram it;
 //   it.Add(83.0);
@@ -7,7 +7,7 @@
 //   it.CountAbove(it.Median() * 4);
 //
 // A value counts as the upper bound of its bucket, so a median is up to 1.5
-// times too large. Any unit will do, as long as all use the same.
+// times too large. Any unit may be used if all use the same.
 
 #ifndef QUAYTRACK_ROLLOUT_TIME_HISTOGRAM_H_
 #define QUAYTRACK_ROLLOUT_TIME_HISTOGRAM_H_
@@ -23,14 +23,14 @@
 
 class TimeHistogram {
  public:
-  // From 0.1 up to 0.1 * 1.5^32, which is 43,000.
+  // Upper bounds from 0.1 to 0.1 * 1.5^32, which is 43,000.
   static constexpr std::size_t kBuckets = 33;
-  static constexpr double kLeast = 0.1;
+  static constexpr double kMinBound = 0.1;
   static constexpr double kGrowth = 1.5;
   using Counts = std::array<std::uint64_t, kBuckets>;
 
   static double UpperBound(std::size_t bucket) {
-    return kLeast * std::pow(kGrowth, static_cast<double>(bucket));
+    return kMinBound * std::pow(kGrowth, static_cast<double>(bucket));
   }
 
   void Add(double value) { ++counts_[BucketOf(value)]; }
@@ -41,7 +41,7 @@
   std::uint64_t total() const {
     return std::accumulate(counts_.begin(), counts_.end(), std::uint64_t{0});
   }
-  // 0 if it is empty.
+  // 0 if the histogram is empty.
   double Median() const {
     const std::uint64_t half = (total() + 1) / 2;
     std::uint64_t seen = 0;
@@ -51,7 +51,7 @@
     }
     return 0;
   }
-  // Values in buckets that lie above it as a whole.
+  // Number of values in buckets that lie completely above `value`.
   std::uint64_t CountAbove(double value) const {
     std::uint64_t out = 0;
     for (std::size_t n = 1; n < kBuckets; ++n) {
--- a/rollout/version_judge.h
+++ b/rollout/version_judge.h
@@ -1,28 +1,29 @@
-// VersionJudge: whether a version is worse than the one that it replaces.
+// VersionEvaluator: decides whether a version is worse than the one that it
+// replaces.
 //
-//   VersionJudge judge;
-//   judge.Observe(evidence);            // counts so far, again and again
-//   if (judge.IsBad()) ...
-//   if (judge.IsGood()) ...
+//   VersionEvaluator evaluator;
+//   evaluator.Observe(evidence);        // repeatedly, with the counts so far
+//   if (evaluator.IsBad()) ...
+//   if (evaluator.IsGood()) ...
 //
-// Three things are looked at for each route: the part of the answers that fail,
-// the part that begins late, and the part whose events come slowly. Late and
-// slow mean several times what is usual for the present version on that route
-// (constants in the .cc). Each is a sequential probability ratio test (Wald
-// 1945) between "no worse than the present version, with some allowance" and
-// "worse by a fifth of the answers". The present version's part is measured
-// beside it, so a trouble that meets both is no difference.
+// Three symptoms are tested on each route: the share of answers that fail, the
+// share that begins late, and the share whose events come slowly. Late and slow
+// mean several times the median of the current version on that route (constants
+// in the .cc). Each is a sequential probability ratio test (Wald 1945) between
+// "no worse than the current version, with an allowance" and "worse by a fifth
+// of the answers". The share of the current version is measured at the same
+// time, so a problem that affects both versions makes no difference.
 //
-// Bad: a cumulative sum (Page 1954) of one of these passes `kAlarm`. It starts
-// anew whenever it falls to nothing, so a version that turns bad late is found
-// as soon as one that was bad from the beginning.
+// Bad: a cumulative sum (Page 1954) of one test passes `kAlarm`. The sum never
+// falls below zero, so a version that turns bad later is found as fast as one
+// that was bad from the start.
 //
 // Good: over all routes, the test of failures accepts with `kAccept`, no sum is
-// near its alarm, and each route that has its share of the requests has been
-// answered some times.
+// near its alarm, and the version has given some answers on each route that has
+// a sufficient share of the requests.
 //
-// It reads no clock and keeps the counts of the last call. Counts that have
-// fallen, as a router that told of them is gone, count as none.
+// Does not read the clock. Keeps the counts of the last call. Counts that have
+// fallen, because a router that reported them is gone, count as no new answers.
 
 #ifndef QUAYTRACK_ROLLOUT_VERSION_JUDGE_H_
 #define QUAYTRACK_ROLLOUT_VERSION_JUDGE_H_
@@ -49,21 +50,21 @@
 
 class VersionJudge {
  public:
-  // A sum that a version no worse than the present one passes with a
-  // probability of about e^-10 for each of its starts.
+  // A version that is no worse than the current one passes this sum with a
+  // probability of about e^-10 each time the sum starts from zero.
   static constexpr double kAlarm = 10;
-  // A version that is worse by what the test looks for is accepted with a
+  // A version that is worse by the margin of the test is accepted with a
   // probability of e^-4.6, 1 in 100.
   static constexpr double kAccept = -4.6;
 
-  // What decided, for the log.
+  // The test with the largest sum, for the log.
   struct Finding {
     std::string route;
     Symptom symptom = Symptom::kFailed;
-    // Of the version that is rolled out.
+    // Counts of the version that is rolled out.
     std::uint64_t answers = 0;
     std::uint64_t bad = 0;
-    // The part that the present version has.
+    // The share of bad answers of the current version.
     double usual = 0;
     // The cumulative sum.
     double sum = 0;
@@ -72,21 +73,23 @@
   void Observe(const VersionEvidence& evidence);
   bool IsBad() const { return worst_.sum >= kAlarm; }
   bool IsGood() const;
-  // Nothing speaks against it, though little is known.
-  bool IsLeaningGood() const { return accepted_ <= 0 && worst_.sum < kNear; }
-  // The largest sum.
+  // There is no evidence against the version, though there may be few answers.
+  bool IsProbablyGood() const {
+    return accepted_ <= 0 && worst_.sum < kNearAlarm;
+  }
+  // The finding with the largest sum.
   const Finding& worst() const { return worst_; }
 
  private:
-  // Half of an alarm.
-  static constexpr double kNear = kAlarm / 2;
+  // A sum from which an alarm counts as near.
+  static constexpr double kNearAlarm = kAlarm / 2;
 
   struct Count {
     std::uint64_t answers = 0;
     std::uint64_t bad = 0;
   };
-  struct Line {
-    Count seen;
+  struct Cusum {
+    Count counted;
     double sum = 0;
   };
 
@@ -94,15 +97,15 @@
                     const RouteEvidence& current);
   void ObserveSlower(const std::string& route, Symptom symptom, double factor,
                      const TimeHistogram& next, const TimeHistogram& current);
-  double Step(const std::string& route, Symptom symptom, const Count& next,
-              const Count& current);
+  double Update(const std::string& route, Symptom symptom, const Count& next,
+                const Count& current);
 
-  std::map<std::pair<std::string, Symptom>, Line> lines_;
-  // Of the test of failures over all routes.
+  std::map<std::pair<std::string, Symptom>, Cusum> cusums_;
+  // Sum of the test of failures over all routes.
   double accepted_ = 0;
-  // A route has had too few answers of the version for its part of the
-  // requests.
-  bool is_short_ = true;
+  // Some route with a sufficient share of the requests has too few answers of
+  // the version.
+  bool has_too_few_answers_ = true;
   Finding worst_;
 };
 
