--- a/relay/admission.cc
+++ b/relay/admission.cc
@@ -7,8 +7,8 @@
 namespace quaytrack {
 namespace {
 
-// An answer at the deadline leaves this much earlier, so that it arrives in
-// time. Not measured.
+// An answer at the deadline is sent this much earlier, so that it arrives in
+// time.
 constexpr Duration kDeadlineMargin = std::chrono::milliseconds(15);
 
 std::string_view HostName(const HttpHead& head) {
@@ -17,7 +17,7 @@
   return std::string_view(*host).substr(0, host->find(':'));
 }
 
-// False if the route needs a key and the request has no known one.
+// Returns false if the route needs a key and the request's key is unknown.
 bool AdmitCustomer(const ServiceMap& map, Admission& out) {
   if (out.route->open_to_all || !map.needs_keys()) return true;
   const CustomerRule* customer = map.FindKey(out.facts.key);
@@ -28,7 +28,8 @@
   return true;
 }
 
-// The caller's own limit, up to the route's, from the request's first byte.
+// The caller's time limit, capped by the route's, counted from the request's
+// first byte.
 Instant DeadlineOf(const CallerRequest& request, const Admission& it) {
   const auto longest = it.route->timeout;
   const auto time = std::min(it.facts.time_left.value_or(longest), longest);
--- a/relay/admission.h
+++ b/relay/admission.h
@@ -1,24 +1,25 @@
-// Admission: from the head of a caller's request to what the rest of its way
-// needs, or to the cause why it is refused at once.
+// Admission reads the head of a caller's request and yields either what is
+// needed to serve it, or the cause of its refusal.
 //
 //   Admission admission;
 //   const auto refused = Admit({map, dialect, request, draw}, admission);
 //   if (refused) ...  // the final answer, by relay/final_answer.h
 //
-// The rule, in this order, first failure first:
-//   1. a configuration is in force;
-//   2. the head can be read, and has a request id;
-//   3. a route takes its host and path;
-//   4. its key is known, where the route needs one;
-//   5. the service that the route sends it to is configured;
-//   6. route and customer allow some region in common (base/residency.h);
-//   7. a planned stop, if there is one, leaves it the time until its deadline:
-//      what a stop cuts is lost, what it refuses can go to another router.
+// Checks, in this order; the first that fails decides:
+//   1. A configuration is in force.
+//   2. The head can be read, and has a request id.
+//   3. A route matches its host and path.
+//   4. Its key is known, if the route needs one.
+//   5. The service that the route selects is configured.
+//   6. Route and customer have an allowed region in common (base/residency.h).
+//   7. The deadline falls within the time that a planned stop, if there is one,
+//      leaves for requests: a request cut by the stop is lost, but a refused
+//      one can go to another router.
 //
-// Inputs are the configuration in force, the request, one random number and the
-// stop's latest deadline, so the same inputs give the same verdict.
-// Budgets (relay/budget_driver.h) and targets (dispatch/placement.h) come
-// later.
+// The inputs are the current configuration, the request, one random number and
+// the stop's latest deadline; equal inputs give equal results. Budgets
+// (relay/budget_driver.h) and targets (dispatch/placement.h) are checked later.
+// Deadlines are instants of the router's clock, costs are tokens.
 
 #ifndef QUAYTRACK_RELAY_ADMISSION_H_
 #define QUAYTRACK_RELAY_ADMISSION_H_
@@ -36,34 +37,35 @@
 namespace quaytrack {
 
 struct AdmissionInput {
-  // The configuration in force; null before the first.
+  // The current configuration; null before the first one.
   const ServiceMap* map = nullptr;
   const CallerDialect& dialect;
   const CallerRequest& request;
-  // Uniform in [0, 1): which of a route's services takes the request.
+  // Uniform in [0, 1); selects one of the route's services.
   double draw = 0;
-  // See relay/planned_stop.h.
+  // PlannedStop::LatestDeadline (relay/planned_stop.h).
   Instant latest_deadline = Instant::max();
 };
 
 struct Admission {
   RequestFacts facts;
-  // Both belong to the configuration.
+  // Owned by the configuration.
   const RouteRule* route = nullptr;
   const ServiceRule* service = nullptr;
   // Empty on routes that need no key.
   CustomerName customer;
   int customer_priority = 0;
-  // When the final answer leaves at the latest.
+  // The latest time at which the final answer is sent.
   Instant deadline{};
-  // The most that it may cost, in tokens; 0 for what no budget pays for.
+  // Upper bound of its cost in tokens; 0 for requests that no budget pays for.
   Tokens worst_case = 0;
-  // What a target is chosen by.
+  // Input to the choice of a target.
   PlacementRequest placement;
 };
 
-// Nothing if the request is admitted, else why it is not. A refusal leaves in
-// `out` what was understood up to there, for the log.
+// Returns std::nullopt if the request is admitted, else the cause of its
+// refusal. On a refusal, `out` holds what was read up to that point, for the
+// log.
 std::optional<RelayCause> Admit(const AdmissionInput& input, Admission& out);
 
 }  // namespace quaytrack
--- a/relay/attempt.cc
+++ b/relay/attempt.cc
@@ -8,26 +8,24 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-// How long a connection to a target may take to open; nothing of the request
-// has run by then, so another target may take it. Not measured.
+// How long a connection to a target may take to open. Nothing of the request
+// has run by then, so another target may take it.
 constexpr Duration kConnectTimeout = milliseconds(250);
 
-// The timeout of the first event of a stream, in parts of the time in which
-// the route wants it (`RouteRule::target_latency`). Raised from 1.25 by commit
-// 9ed3aa6, whose trial (scale-1, one run) had found 731,000 of 3.7M tokens
-// spent on sends that the router itself had given up. That commit changed three
-// other things as well: by itself this figure was not measured.
+// The timeout of a stream's first event, as a multiple of the route's target
+// for it (`RouteRule::target_latency`). When it was 1.25, the router spent
+// 731,000 of 3.7M tokens on sends that it had itself given up.
 constexpr double kStreamTimeoutFactor = 2.6;
 
-// The same for the whole answer of another route. Under 1, so that a second
-// target can still answer in time. Not measured.
+// The same for the complete answer of other routes. Below 1, so that a second
+// target can still answer in time.
 constexpr double kCallTimeoutFactor = 0.8;
 
-// The timeout of the next event, in parts of the longest pause that the
-// route allows (`RouteRule::target_gap`), and the least of it: going on
-// elsewhere costs another read of the prompt. Neither was measured.
+// The timeout of the next event, as a multiple of the longest pause that the
+// route allows (`RouteRule::target_gap`), and its minimum. Both are long, since
+// continuing at another target costs another prefill of the prompt.
 constexpr double kEventTimeoutFactor = 2.5;
-constexpr Duration kLeastEventTimeout = milliseconds(1000);
+constexpr Duration kMinEventTimeout = milliseconds(1000);
 
 Duration Scaled(milliseconds d, double x) {
   return duration_cast<Duration>(std::chrono::duration<double, std::milli>(
@@ -48,7 +46,7 @@
 }
 
 Duration NextEventTimeout(const RouteRule& route) {
-  return std::max(kLeastEventTimeout,
+  return std::max(kMinEventTimeout,
                   Scaled(route.target_gap, kEventTimeoutFactor));
 }
 
@@ -67,24 +65,24 @@
   return out;
 }
 
-AttemptVerdict JudgeAttempt(const AttemptFacts& facts) {
+AttemptResult EvaluateAttempt(const AttemptFacts& facts) {
   if (facts.end == CallEnd::kHeldBack) {
     return {false, Ran::kNo, PlacementOutcome::kNeutral};
   }
   if (facts.end == CallEnd::kNotSent) {
     return {false, Ran::kNo, PlacementOutcome::kFailed};
   }
-  const AttemptVerdict failed = {false, Ran::kUnknown,
-                                 PlacementOutcome::kFailed};
+  const AttemptResult failed = {false, Ran::kUnknown,
+                                PlacementOutcome::kFailed};
   if (facts.end == CallEnd::kBroken) return failed;
   if (facts.answer.not_run) {
     return {false, Ran::kNo, PlacementOutcome::kTurnedAway};
   }
-  if (!MayPassOn(facts.status, facts.answer.sealed)) return failed;
+  if (!MayForward(facts.status, facts.answer.sealed)) return failed;
   if (facts.in_event) return failed;
-  // A stream that has begun can't end in another answer.
+  // A stream that has started can't end with another answer.
   if (facts.streaming && !IsSuccess(facts.status)) return failed;
-  // An error may be the request's own fault as well as the target's.
+  // An error may be the fault of the request rather than of the target.
   const PlacementOutcome outcome = IsServerError(facts.status)
                                        ? PlacementOutcome::kNeutral
                                        : PlacementOutcome::kGood;
--- a/relay/attempt.h
+++ b/relay/attempt.h
@@ -1,21 +1,21 @@
-// One attempt: a request is sent to one target, and something comes back, or
-// nothing. The rules here say how long to wait, and what it means when the
-// attempt is over. They hold no state and read no clock; RelayedRequest keeps
-// the call and its timers, and relay/retry.h decides what comes next.
+// The rules of one attempt, that is, of sending a request to one target: how
+// long to wait for the answer, and what the end of the attempt means. They are
+// stateless and read no clock. RelayedRequest keeps the call and its timers,
+// and relay/retry.h decides what comes next.
 //
 //   timer = loop.After(FirstAnswerTimeout(route, left), ...);
-//   const AttemptVerdict it = JudgeAttempt({end, answer, status, ...});
+//   const AttemptResult it = EvaluateAttempt({end, answer, status, ...});
 //   if (!it.answered) ...  // `it.ran` decides whether it may be sent again
 //
 // Timeouts. An attempt that takes too long is stopped only if the request may
-// be sent to another target; else waiting on is the best that can be done for
-// the caller, and only its deadline ends it. An attempt whose connection has
-// not opened in time is ended in any case, as nothing of it has run.
+// be sent to another target. Otherwise waiting is the best option for the
+// caller, and only the deadline ends the attempt. An attempt whose connection
+// doesn't open in time is always stopped, as nothing of it has run.
 //
-// What an answer means. A success is passed on only with the seal by which its
-// target vouches for it, and only whole. Errors carry no seal and are passed on
-// as they are. Only an explicit statement of the target, or the knowledge that
-// no byte left this VM, says that a request has not run.
+// Answers. A success is forwarded only if it is complete and carries the seal
+// by which its target vouches for it. Errors carry no seal and are forwarded as
+// they are. A request counts as not run only if the target states so
+// explicitly, or if no byte left this VM.
 
 #ifndef QUAYTRACK_RELAY_ATTEMPT_H_
 #define QUAYTRACK_RELAY_ATTEMPT_H_
@@ -35,12 +35,12 @@
 
 // --- Timeouts ----------------------------------------------------------------
 
-// From the send to the first byte of the answer's body that counts: the first
-// event of a stream, or the end of another answer. `left` is the time until the
+// From the send to the first useful byte of the answer's body: the first event
+// of a stream, or the end of any other answer. `left` is the time until the
 // request's deadline.
 Duration FirstAnswerTimeout(const RouteRule& route, Duration left);
 
-// From the send until the connection has opened and taken a first byte.
+// From the send until the connection has opened and accepted a first byte.
 Duration ConnectTimeout(const RouteRule& route, Duration left);
 
 // From one event of a stream to the next.
@@ -48,45 +48,45 @@
 
 // --- Answers -----------------------------------------------------------------
 
-// Whether an answer is one that this attempt waits for. A target may send an
-// answer to another request on a kept connection; one without any request's id
-// counts only if it says that nothing has run.
+// Whether an answer belongs to this attempt. On a kept-alive connection a
+// target may send an answer to another request. An answer without a request id
+// counts only if it states that nothing has run.
 bool AnswersRequest(const AnswerFacts& answer, const RequestId& request);
 
-// Whether the caller may get an answer with that status.
-inline bool MayPassOn(int status, bool sealed) {
+// Whether an answer with that status may be forwarded to the caller.
+inline bool MayForward(int status, bool sealed) {
   return sealed || !IsSuccess(status);
 }
 
-// Whether an answer is passed on event by event, while it comes.
-inline bool IsPassedOnByEvent(RouteKind kind, int status, bool sealed) {
+// Whether an answer is forwarded event by event as it arrives.
+inline bool IsForwardedByEvent(RouteKind kind, int status, bool sealed) {
   return kind == RouteKind::kStreaming && sealed && IsSuccess(status);
 }
 
-// A target's head as the caller gets it.
+// The head that the caller receives: without hop-by-hop headers.
 HttpHead HeadForCaller(const HttpHead& head);
 
-// What is known when the connection says that a call is over.
+// What is known when the connection reports the end of a call.
 struct AttemptFacts {
   CallEnd end = CallEnd::kNotSent;
-  // Of the answer, if its head has come.
+  // From the answer's head, if it has arrived.
   AnswerFacts answer;
   int status = 0;
-  // The body ended inside an event of a stream.
+  // The body ended within an event of a stream.
   bool in_event = false;
-  // Events of this request have been passed on, of this attempt or another.
+  // Events of this request have been forwarded, by this attempt or another.
   bool streaming = false;
 };
 
-struct AttemptVerdict {
-  // The answer is whole, and is the caller's.
+struct AttemptResult {
+  // The answer is complete and can be forwarded.
   bool answered = false;
   Ran ran = Ran::kUnknown;
-  // What it says for or against the target.
+  // What the placement records about the target.
   PlacementOutcome outcome = PlacementOutcome::kFailed;
 };
 
-AttemptVerdict JudgeAttempt(const AttemptFacts& facts);
+AttemptResult EvaluateAttempt(const AttemptFacts& facts);
 
 }  // namespace quaytrack
 
--- a/relay/crash_reports.cc
+++ b/relay/crash_reports.cc
@@ -12,10 +12,10 @@
 using Json = nlohmann::json;
 using std::chrono::milliseconds;
 
-// Names are cut to this many bytes; those of real targets are shorter.
-constexpr std::size_t kLongestName = 200;
-// A request that had begun longer ago than this counts as this.
-constexpr std::int64_t kLongestSpanMs = 3'600'000;
+// Names are truncated to this many bytes; those of real targets are shorter.
+constexpr std::size_t kMaxNameBytes = 200;
+// Longer spans are clamped to this.
+constexpr std::int64_t kMaxSpanMs = 3'600'000;
 
 WallTime TimeFromJson(const Json& json) {
   const WallTime at{milliseconds(json.get<std::int64_t>())};
@@ -25,7 +25,7 @@
 std::int64_t TimeToJson(WallTime at) { return at.time_since_epoch().count(); }
 
 std::string NameFromJson(const Json& json) {
-  return json.get<std::string>().substr(0, kLongestName);
+  return json.get<std::string>().substr(0, kMaxNameBytes);
 }
 
 CrashReport CrashFromJson(const Json& json) {
@@ -34,18 +34,18 @@
   out.target = TargetStart(NameFromJson(json.at(1)));
   out.at = TimeFromJson(json.at(2));
   const auto ms = json.at(3).get<std::int64_t>();
-  out.begun_for = milliseconds(std::clamp<std::int64_t>(ms, 0, kLongestSpanMs));
+  out.begun_for = milliseconds(std::clamp<std::int64_t>(ms, 0, kMaxSpanMs));
   return out;
 }
 
 CrashReports FromJson(const Json& json) {
   CrashReports out;
   for (const Json& it : json.at("crashes")) {
-    if (out.crashes.size() == CrashReports::kMostOfOne) break;
+    if (out.crashes.size() == CrashReports::kMaxPerList) break;
     out.crashes.push_back(CrashFromJson(it));
   }
   for (const Json& it : json.at("ran")) {
-    if (out.ran.size() == CrashReports::kMostOfOne) break;
+    if (out.ran.size() == CrashReports::kMaxPerList) break;
     out.ran.push_back(
         {Fingerprint(NameFromJson(it.at(0))), TimeFromJson(it.at(1))});
   }
--- a/relay/crash_watch.cc
+++ b/relay/crash_watch.cc
@@ -10,28 +10,28 @@
 
 using std::chrono::milliseconds;
 
-// Under which each router's reports stand, by the name of its VM.
+// Prefix of the keys of reports, followed by the name of each router's VM.
 constexpr char kPrefix[] = "quaytrack/crash/";
 
-// How long a router of a large fleet does without a sign of a reader before it
-// follows the crash reports itself. Beyond the longest cuts from the store that
-// are usual, 9 s: 280 routers that each lost their readers' signs in one, and
-// called for this as well, made 1,700 to 2,700 calls a day more. Peers tell
-// each other of crashes at once, whatever the store does.
-constexpr Duration kWithoutSigns = std::chrono::seconds(10);
+// How long a router of a large fleet waits for a reader's heartbeat before it
+// follows the crash reports itself. It exceeds the longest usual cuts from the
+// store, 9 s: in one such cut 280 routers each lost their readers' heartbeats,
+// and called the store for this as well, which made 1,700 to 2,700 more calls a
+// day. Peers send each other crashes at once, whatever the store does.
+constexpr Duration kReaderTimeout = std::chrono::seconds(10);
 
-// How long a target has to take a connection before it counts as ended. A dead
-// port refuses at once, a machine that is gone says nothing. Not measured.
+// How long a target may take to accept a connection before it counts as ended.
+// A dead port refuses at once, a dead machine doesn't answer.
 constexpr Duration kProbeTimeout = milliseconds(400);
 
-// From a report to its write: those of one crash go together. Not measured.
-constexpr Duration kBeforeWrite = milliseconds(20);
-// Between two writes of one router, and from one that failed to the next. Ten
-// routers that see a crash each 200 ms make 40 writes a second. Not measured.
-constexpr Duration kBetweenWrites = milliseconds(200);
+// From a report to its write, so that the reports of one crash share a write.
+constexpr Duration kWriteDelay = milliseconds(20);
+// Between two writes of one router, also after a failed one. Ten routers that
+// see a crash each 200 ms make 40 writes a second.
+constexpr Duration kWriteInterval = milliseconds(200);
 
 template <class Report>
-void AddOnce(std::vector<Report>& list, const Report& it) {
+void AddIfAbsent(std::vector<Report>& list, const Report& it) {
   if (std::find(list.begin(), list.end(), it) != list.end()) return;
   list.push_back(it);
 }
@@ -52,36 +52,36 @@
     : context_(context),
       self_(std::move(self)),
       on_(std::move(handlers)),
-      feed_(context, {FeedName::kCrashes, {kPrefix}, kWithoutSigns},
+      feed_(context, {FeedName::kCrashes, {kPrefix}, kReaderTimeout},
             FeedHandlers(), on_.feed) {}
 
 Duration CrashWatch::Remaining(const Fingerprint& request) const {
   return blame_.Remaining(request, context_.clock.WallNow());
 }
 
-// --- What others have seen ---------------------------------------------------
+// --- Reports of other routers ------------------------------------------------
 
 StateFeed::Handlers CrashWatch::FeedHandlers() {
   StateFeed::Handlers on;
   on.replaced = [this](const std::vector<StoreItem>& items) {
-    for (const StoreItem& it : items) TakeItem(it);
+    for (const StoreItem& it : items) AddStoredReports(it);
   };
   on.changed = [this](const StoreChange& it) {
-    if (!it.removed) TakeItem(it.item);
+    if (!it.removed) AddStoredReports(it.item);
   };
   on.settled = [] {};
-  // The feeds of the configuration and the targets report it.
+  // The feeds of the configuration and the targets report reachability.
   on.reachable = [](bool) {};
   return on;
 }
 
-void CrashWatch::TakeItem(const StoreItem& item) {
+void CrashWatch::AddStoredReports(const StoreItem& item) {
   const auto reports = DecodeCrashReports(item.value);
   if (!reports) {
     LogEvent(Event::kRecordRefused, {{"key", item.key}});
     return;
   }
-  Take(*reports);
+  AddReports(*reports);
 }
 
 void CrashWatch::OnPeer(const PeerMessage& message) {
@@ -92,15 +92,15 @@
     LogEvent(Event::kPeerMessageRefused, {{"peer", message.from.value}});
     return;
   }
-  Take(*reports);
+  AddReports(*reports);
 }
 
-void CrashWatch::Take(const CrashReports& reports) {
+void CrashWatch::AddReports(const CrashReports& reports) {
   blame_.NoteAll(reports.crashes, reports.ran, context_.clock.WallNow());
-  LogVerdicts();
+  LogBlameChanges();
 }
 
-void CrashWatch::LogVerdicts() {
+void CrashWatch::LogBlameChanges() {
   const std::set<Fingerprint>& blamed = blame_.blamed();
   if (blamed == logged_) return;
   for (const Fingerprint& it : blamed) {
@@ -120,21 +120,21 @@
 void CrashWatch::Check() {
   ForgetRemembered();
   blame_.Expire(context_.clock.WallNow());
-  LogVerdicts();
+  LogBlameChanges();
 }
 
-// --- What this router sees ---------------------------------------------------
+// --- Reports of this router --------------------------------------------------
 
 bool CrashWatch::Remember(const LostAttempt& attempt) {
   if (!on_.is_open_to_work(attempt.target)) return false;
   auto& all = remembered_[attempt.target.start];
   all.push_back({attempt, context_.clock.Now()});
-  if (all.size() > kMostRemembered) all.pop_front();
+  if (all.size() > kMaxRemembered) all.pop_front();
   return true;
 }
 
 void CrashWatch::ForgetRemembered() {
-  const Instant old = context_.clock.Now() - kRemember;
+  const Instant old = context_.clock.Now() - kRememberFor;
   for (auto& [target, all] : remembered_) {
     while (!all.empty() && all.front().lost_at < old) all.pop_front();
   }
@@ -171,27 +171,29 @@
   options.user_timeout = kProbeTimeout;
   probe->socket = TcpSocket::Connect(context_.loop, probe->target.address,
                                      options, std::move(on));
-  // Without a socket nothing is shown, so it speaks against nobody.
+  // A failure to open a local socket shows nothing about the target.
   if (!probe->socket) return EndProbe(probe, false);
   probe->timer = context_.loop.After(kProbeTimeout, [end] { end(true); });
 }
 
 void CrashWatch::EndProbe(const ProbePtr& probe, bool ended) {
   if (probe->socket) probe->socket->Close();
-  // Its own callback, and that of its timer, may be running.
+  // The callback of the socket or the timer may be running, so they are
+  // destroyed later.
   context_.loop.Post(
       [probe, timer = std::shared_ptr<Timer>(std::move(probe->timer))] {});
   if (ended) {
     probes_.erase(probe->target.start);
     return OnEnded(probe->target.start);
   }
-  const bool was_last = ++probe->step == kProbeAt.size();
+  const bool was_last = ++probe->step == kProbeDelays.size();
   if (was_last || !on_.is_open_to_work(probe->target)) {
     probes_.erase(probe->target.start);
     return;
   }
-  const Duration pause = kProbeAt[probe->step] - kProbeAt[probe->step - 1];
-  // Not held by its own timer: `probes_` alone keeps it.
+  const Duration pause =
+      kProbeDelays[probe->step] - kProbeDelays[probe->step - 1];
+  // The timer doesn't own the probe; only `probes_` does.
   probe->timer =
       context_.loop.After(pause, [this, weak = std::weak_ptr<Probe>(probe)] {
         if (const auto it = weak.lock()) StartProbe(it);
@@ -209,72 +211,74 @@
             {"target", attempt.target.start.value},
             {"begun_ms", MillisecondsText(attempt.running_for)},
             {"crashes", std::to_string(blame_.Crashes(attempt.request))}});
-  LogVerdicts();
-  own_.crashes.push_back(report);
-  Tell({{report}, {}});
+  LogBlameChanges();
+  local_reports_.crashes.push_back(report);
+  Publish({{report}, {}});
 }
 
 void CrashWatch::OnRan(const Fingerprint& request) {
   if (!blame_.IsSuspected(request)) return;
   const WallTime now = context_.clock.WallNow();
   blame_.NoteRan(request, now, now);
-  LogVerdicts();
+  LogBlameChanges();
   const RanReport report{request, now};
-  std::erase_if(own_.ran,
+  std::erase_if(local_reports_.ran,
                 [&](const auto& it) { return it.request == request; });
-  own_.ran.push_back(report);
-  Tell({{}, {report}});
+  local_reports_.ran.push_back(report);
+  Publish({{}, {report}});
 }
 
-void CrashWatch::Tell(const CrashReports& news) {
-  ForgetOwn();
+void CrashWatch::Publish(const CrashReports& reports) {
+  TrimLocalReports();
   PeerMessage out;
   out.kind = PeerMessageKind::kCrashes;
-  out.item_key = OwnKey();
-  out.item_value = EncodeCrashReports(news);
+  out.item_key = LocalKey();
+  out.item_value = EncodeCrashReports(reports);
   on_.broadcast(std::move(out));
-  unwritten_ = true;
-  if (!write_ && !write_timer_) WriteAfter(kBeforeWrite);
+  needs_write_ = true;
+  if (!write_ && !write_timer_) WriteAfter(kWriteDelay);
 }
 
-// Keeps the own reports within their bounds: what is old goes, then what speaks
-// against requests with the fewest crashes, the oldest first.
-void CrashWatch::ForgetOwn() {
+// Keeps this router's reports within their bounds: drops expired ones, then
+// those of requests with the fewest crashes, the oldest first.
+void CrashWatch::TrimLocalReports() {
   const WallTime now = context_.clock.WallNow();
   const auto is_old = [now](const auto& it) {
     return now - it.at > kCrashMemory;
   };
-  std::erase_if(own_.crashes, is_old);
-  std::erase_if(own_.ran, is_old);
-  const auto worth = [this](const CrashReport& it) {
+  std::erase_if(local_reports_.crashes, is_old);
+  std::erase_if(local_reports_.ran, is_old);
+  const auto priority = [this](const CrashReport& it) {
     return std::pair(blame_.Crashes(it.request), it.at);
   };
-  while (own_.crashes.size() > CrashReports::kMostOfOne) {
-    own_.crashes.erase(std::min_element(
-        own_.crashes.begin(), own_.crashes.end(),
-        [&](const auto& a, const auto& b) { return worth(a) < worth(b); }));
+  while (local_reports_.crashes.size() > CrashReports::kMaxPerList) {
+    local_reports_.crashes.erase(std::min_element(
+        local_reports_.crashes.begin(), local_reports_.crashes.end(),
+        [&](const auto& a, const auto& b) {
+          return priority(a) < priority(b);
+        }));
   }
-  while (own_.ran.size() > CrashReports::kMostOfOne) {
-    own_.ran.erase(own_.ran.begin());
+  while (local_reports_.ran.size() > CrashReports::kMaxPerList) {
+    local_reports_.ran.erase(local_reports_.ran.begin());
   }
 }
 
 // --- The store ---------------------------------------------------------------
 
-std::string CrashWatch::OwnKey() const { return kPrefix + self_.value; }
+std::string CrashWatch::LocalKey() const { return kPrefix + self_.value; }
 
 void CrashWatch::WriteAfter(Duration delay) {
   write_timer_ = context_.loop.After(delay, [this] {
     write_timer_.reset();
-    if (unwritten_) Write();
+    if (needs_write_) Write();
   });
 }
 
 void CrashWatch::Write() {
-  unwritten_ = false;
+  needs_write_ = false;
   StoreWrite write;
-  write.conditions.push_back({OwnKey(), own_revision_});
-  write.puts.push_back({OwnKey(), EncodeCrashReports(own_), 0});
+  write.conditions.push_back({LocalKey(), local_revision_});
+  write.puts.push_back({LocalKey(), EncodeCrashReports(local_reports_), 0});
   write_ = context_.store.Write(
       write, [this](const StoreWritten& it) { OnWritten(it); });
 }
@@ -282,34 +286,36 @@
 void CrashWatch::OnWritten(const StoreWritten& written) {
   write_.reset();
   const bool done = written.end == StoreEnd::kDone;
-  if (done) own_revision_ = written.revision;
+  if (done) local_revision_ = written.revision;
   if (written.end == StoreEnd::kRejected) {
-    own_revision_ = {};
+    local_revision_ = {};
     for (const StoreItem& it : written.present) {
-      if (it.key != OwnKey()) continue;
-      own_revision_ = it.revision;
-      if (const auto stored = DecodeCrashReports(it.value)) MergeOwn(*stored);
+      if (it.key != LocalKey()) continue;
+      local_revision_ = it.revision;
+      if (const auto stored = DecodeCrashReports(it.value))
+        MergeStoredReports(*stored);
     }
   }
-  if (!done) unwritten_ = true;
-  WriteAfter(kBetweenWrites);
+  if (!done) needs_write_ = true;
+  WriteAfter(kWriteInterval);
 }
 
 void CrashWatch::OnStoreEra() {
   feed_.OnStoreEra();
-  own_revision_ = {};
-  ForgetOwn();
-  if (own_.crashes.empty() && own_.ran.empty()) return;
-  unwritten_ = true;
-  if (!write_ && !write_timer_) WriteAfter(kBeforeWrite);
+  local_revision_ = {};
+  TrimLocalReports();
+  if (local_reports_.crashes.empty() && local_reports_.ran.empty()) return;
+  needs_write_ = true;
+  if (!write_ && !write_timer_) WriteAfter(kWriteDelay);
 }
 
-// What an earlier process on this VM has seen stays in the store.
-void CrashWatch::MergeOwn(const CrashReports& stored) {
-  Take(stored);
-  for (const CrashReport& it : stored.crashes) AddOnce(own_.crashes, it);
-  for (const RanReport& it : stored.ran) AddOnce(own_.ran, it);
-  ForgetOwn();
+// Reports of an earlier process on this VM stay in the store.
+void CrashWatch::MergeStoredReports(const CrashReports& stored) {
+  AddReports(stored);
+  for (const CrashReport& it : stored.crashes)
+    AddIfAbsent(local_reports_.crashes, it);
+  for (const RanReport& it : stored.ran) AddIfAbsent(local_reports_.ran, it);
+  TrimLocalReports();
 }
 
 }  // namespace quaytrack
--- a/relay/events.h
+++ b/relay/events.h
@@ -1,25 +1,26 @@
-// Reads the events of a stream (text/event-stream, WHATWG HTML 9.2) as they
-// pass, and lets only whole ones through.
+// EventReader splits a stream (text/event-stream, WHATWG HTML 9.2) into events
+// and lets only complete ones through.
 //
 //   EventReader reader;
 //   const StreamEvents it = reader.Take(bytes);
 //   if (it.out_of_order) ...              // the target skipped an event
 //   caller.WriteChunk(it.bytes);
 //   ...
-//   reader.DropPartial();                 // another target goes on
+//   reader.DropPartial();                 // another target continues
 //   facts.last_event = reader.last_id();  // after this event
 //
-// A target may end in the middle of an event. What has come of it is kept back,
-// so that a caller never sees a piece of one, and another target can go on
-// after the last whole event. That target may begin earlier than it was asked
-// to: events whose ids were passed on before are dropped. If a target skips an
-// event, nothing that came with the gap is taken out or counted, so the next
-// target goes on before it and no caller misses an event.
+// A target may end in the middle of an event. Incomplete events are buffered,
+// so that a caller never sees part of one, and another target can continue
+// after the last complete event. That target may start earlier than requested:
+// events whose ids were forwarded before are dropped. If a target skips an
+// event, none of the events that arrived in the same `Take` are returned or
+// counted, so the next target continues before the gap and no caller misses an
+// event.
 //
-// It owns the bytes of the event that is not yet whole and the id of the last
-// whole one, and relies on ids that are whole numbers and rise by one. Events
-// without such an id pass as they are. Bytes can't be refused: a stream that is
-// no stream of events is one event that never becomes whole.
+// It owns the bytes of the incomplete event and the id of the last complete
+// one, and relies on ids that are integers and rise by one. Events without such
+// an id are forwarded as they are. There are no errors: bytes that are no event
+// stream are treated as one event that never completes.
 
 #ifndef QUAYTRACK_RELAY_EVENTS_H_
 #define QUAYTRACK_RELAY_EVENTS_H_
@@ -32,27 +33,27 @@
 
 namespace quaytrack {
 
-// Whole events, as they came, without those that were passed on before.
+// Complete events, unchanged, without those that were forwarded before.
 struct StreamEvents {
   std::string bytes;
   int count = 0;
-  // An event came that doesn't follow the one before it. There are no bytes
-  // then, also none of the events before it in the same `Take`.
+  // An event doesn't follow the one before it. `bytes` is empty then, and omits
+  // also the earlier events of the same `Take`.
   bool out_of_order = false;
 };
 
 class EventReader {
  public:
-  // Adds bytes as they came, and takes out the events that are whole by them:
-  // all of them, or none if one was skipped. What is taken out has to be passed
-  // on, as `last_id` counts it.
+  // Appends received bytes, and returns the events that they complete: all of
+  // them, or none if one was skipped. The caller must forward what is returned,
+  // as `last_id` counts it.
   StreamEvents Take(std::string_view bytes);
 
-  // Some of an event has come, and not all.
+  // Part of an event has arrived.
   bool InEvent() const { return !partial_.empty(); }
-  // Forgets what has come of an event, when another target goes on.
+  // Drops the incomplete event, when another target continues.
   void DropPartial() { partial_.clear(); }
-  // The id of the last event that was taken out; empty if events carry none.
+  // The id of the last event that was returned; empty if events carry none.
   std::string last_id() const {
     return last_id_ ? std::to_string(*last_id_) : std::string();
   }
@@ -60,7 +61,7 @@
  private:
   using EventId = std::optional<std::int64_t>;
 
-  // How an event stands to the one with the id `last`.
+  // The position of an event relative to the one with the id `last`.
   enum class Order { kNext, kRepeated, kSkips };
   static Order OrderOf(const EventId& id, const EventId& last) {
     if (!id || !last || *id == *last + 1) return Order::kNext;
--- a/relay/final_answer.cc
+++ b/relay/final_answer.cc
@@ -10,28 +10,27 @@
 
 using std::chrono::milliseconds;
 
-// When a caller should come back, by how long the reason is likely to last. All
-// of them are guesses that were not measured.
+// Retry-After values, by how long the reason is likely to last.
 //
-// Targets free room, and the list of targets changes, all the time: a short
+// Targets free capacity, and the list of targets changes, all the time: a short
 // wait leaves the caller most of its time for another attempt.
-constexpr Duration kWhenTargetsChange = milliseconds(200);
+constexpr Duration kRetryAfterTargetChange = milliseconds(200);
 // A router that has just started reads its configuration from the store in a
 // few round trips.
-constexpr Duration kWhenConfigured = milliseconds(500);
-// A part of a budget that could not be had from the store and the peers within
-// the time that a request waits for it (relay/hold_patience.h) is not to be
-// had a moment later either.
-constexpr Duration kWhenGranted = milliseconds(1000);
+constexpr Duration kRetryAfterConfiguration = milliseconds(500);
+// Tokens that neither the store nor the peers granted within the time that a
+// request waits for them (relay/hold_patience.h) won't be available a moment
+// later either.
+constexpr Duration kRetryAfterGrant = milliseconds(1000);
 
-// Operators close halls and bind requests to regions for some seconds at least,
-// and nobody says for how long.
-constexpr Duration kWhenOperatorsChange = milliseconds(2000);
+// Operators close halls and restrict requests to regions for some seconds at
+// least, without stating for how long.
+constexpr Duration kRetryAfterOperatorChange = milliseconds(2000);
 
-// Another router can take it at once, if the balancer has one. A longer wait
-// would make the answer late for certain, to spare some callers another refusal
-// by a router that stops as well.
-constexpr Duration kWhenElsewhere = milliseconds(50);
+// Another router can take the request at once, if the balancer has one. A
+// longer wait would delay every answer, only to spare some callers a second
+// refusal by a router that is stopping too.
+constexpr Duration kRetryAfterOtherRouter = milliseconds(50);
 
 std::string SecondsText(Duration d) {
   char out[32];
@@ -83,16 +82,16 @@
     case RelayCause::kTargetsLimited:
     case RelayCause::kTurnedAway:
     case RelayCause::kTimedOut:
-      return kWhenTargetsChange;
+      return kRetryAfterTargetChange;
     case RelayCause::kNoConfiguration:
-      return kWhenConfigured;
+      return kRetryAfterConfiguration;
     case RelayCause::kBudgetUnavailable:
-      return kWhenGranted;
+      return kRetryAfterGrant;
     case RelayCause::kHallsClosed:
     case RelayCause::kOutsideResidency:
-      return kWhenOperatorsChange;
+      return kRetryAfterOperatorChange;
     case RelayCause::kStopped:
-      return kWhenElsewhere;
+      return kRetryAfterOtherRouter;
     case RelayCause::kCrashesTargets:
       return kCrashMemory;
     default:
@@ -101,11 +100,11 @@
 }
 
 FinalAnswer MakeFinalAnswer(RelayCause cause, Ran ran,
-                            std::optional<Duration> known_wait) {
+                            std::optional<Duration> retry_after) {
   FinalAnswer out;
   out.head.status = FinalStatus(cause, ran);
   out.head.headers.push_back({"Content-Type", "application/json"});
-  const Duration wait = known_wait.value_or(RetryAfter(cause));
+  const Duration wait = retry_after.value_or(RetryAfter(cause));
   if (ran == Ran::kNo && wait > Duration::zero()) {
     out.head.headers.push_back({"Retry-After", SecondsText(wait)});
   }
--- a/relay/final_answer.h
+++ b/relay/final_answer.h
@@ -1,17 +1,17 @@
-// What a caller is told when no target's answer is passed on: the status, the
-// cause, whether the request has run, and when to come back. Every status and
-// every Retry-After of the relay's own stands in final_answer.cc.
+// The router's own answer to a caller, sent when no target's answer is
+// forwarded: the status, the cause, whether the request has run, and when to
+// retry. Every such status and Retry-After is defined in final_answer.cc.
 //
 //   const FinalAnswer it = MakeFinalAnswer(RelayCause::kNoTarget, Ran::kNo);
 //   caller.Reply(it.head, it.body);   // 503, Retry-After: 0.20
 //
 // The body is one line of JSON: {"error":"no_target","ran":"no"}.
 //
-// A refusal (`Ran::kNo`) promises that the request has not run and won't. It
-// goes out as soon as that is known, so that the caller has the rest of its
-// time for another attempt, and a 503 tells it when one is likely to succeed:
-// the least time after which the reason may have passed. Refusals that the
-// caller alone can mend (400, 401, 402, 404) name no time. Neither do answers
+// A refusal (`Ran::kNo`) guarantees that the request has not run and won't run.
+// It is sent as soon as that is known, so that the caller has the rest of its
+// time for another attempt. A 503 states when a retry is likely to succeed: the
+// shortest time after which the reason may have passed. Refusals that only the
+// caller can fix (400, 401, 402, 404) carry no Retry-After. Neither do answers
 // to requests that may have run (502, 504): whether to repeat those is the
 // caller's decision.
 
@@ -28,10 +28,10 @@
 
 namespace quaytrack {
 
-// Why a request ended as it did; one word of the log and of the metrics.
+// Why a request ended; named in the log and the metrics.
 enum class RelayCause {
   kServed,
-  kTargetError,  // the target's own error, passed on
+  kTargetError,  // an error from the target, forwarded
   kNoConfiguration,
   kMalformed,
   kNoRoute,
@@ -39,16 +39,16 @@
   kBudgetExhausted,
   kBudgetUnavailable,
   kNoTarget,
-  kTargetsCold,     // they have just started, and bear no more for now
-  kTargetsLimited,  // they have named rate limits, which allow no more for now
-  kHallsClosed,     // operators have closed the halls of all its targets
-  kOutsideResidency,  // it may be processed in no region that has a target
-  kTurnedAway,        // no attempt has run, and no further one is allowed
-  kTargetFailed,      // may have run
+  kTargetsCold,       // just started, at their limit for now
+  kTargetsLimited,    // at the rate limits that they announced
+  kHallsClosed,       // operators closed the halls of all targets
+  kOutsideResidency,  // no target in an allowed region
+  kTurnedAway,        // no attempt has run; no retry is allowed
+  kTargetFailed,      // the request may have run
   kTimedOut,
   kStreamBroke,
   kCallerGone,
-  kStopped,         // a planned stop of this router had no more time for it
+  kStopped,         // a planned stop has no time left for it
   kCrashesTargets,  // relay/crash_watch.h
 };
 
@@ -82,19 +82,19 @@
   std::string body;
 };
 
-// The status of the relay's own answer; 0 if a request that ends for this cause
-// gets none (a cut stream, a caller that has gone) or a target's answer.
+// The status of the router's own answer; 0 if a request that ends for this
+// cause gets no such answer (a target's answer, a cut stream, a caller that has
+// left).
 int FinalStatus(RelayCause cause, Ran ran);
 
-// When a caller that was refused for `cause` should come back; zero to leave it
-// to the caller. For a request that crashes targets, the longest that it may
-// be.
+// When a caller that was refused for `cause` should retry; zero if it gets no
+// Retry-After. For kCrashesTargets, the longest possible time.
 Duration RetryAfter(RelayCause cause);
 
-// The answer for a cause whose status is not 0. `wait` is when to come back, if
-// more is known of it than the cause.
+// The answer for a cause whose status is not 0. `retry_after` overrides the
+// time that the cause implies.
 FinalAnswer MakeFinalAnswer(RelayCause cause, Ran ran,
-                            std::optional<Duration> wait = std::nullopt);
+                            std::optional<Duration> retry_after = std::nullopt);
 
 }  // namespace quaytrack
 
--- a/relay/ran.h
+++ b/relay/ran.h
@@ -1,15 +1,16 @@
 // What a router knows about whether a request ran at a target.
 //
-//   Ran::kNo       It certainly did not: nothing of it was handed to the
+//   Ran::kNo       It certainly did not: nothing of it was passed to the
 //   kernel,
-//                  or the target said so. It may be sent to another target, and
-//                  a refusal may promise the caller that it has not run.
+//                  or the target stated so. It may be sent to another target,
+//                  and a refusal may guarantee the caller that it has not run.
 //   Ran::kUnknown  It was sent, at least in part, and may have run, whatever
-//                  came back. It is charged for, and only what may be repeated
-//                  is sent again.
+//   the
+//                  answer was. It is charged for, and is sent again only if it
+//                  may be repeated.
 //
-// There is no "yes": nobody decides anything by it. The names are those of the
-// `ran` field in answers to callers and in `attempt_ended`.
+// There is no value for "yes", as no decision depends on it. The names are
+// those of the `ran` field in answers to callers and in `attempt_ended`.
 
 #ifndef QUAYTRACK_RELAY_RAN_H_
 #define QUAYTRACK_RELAY_RAN_H_
--- a/relay/relay_chart.h
+++ b/relay/relay_chart.h
@@ -1,27 +1,27 @@
-// The life of a relayed request: chart/charts/relay.json, bound to its enums.
+// The states of a relayed request: chart/charts/relay.json, bound to its enums.
 //
 //   BOOST_LEAF_AUTO(charts, BindRelayCharts());
 //   ChartMachine<RelayState, RelayEvent, RelayAction> machine(charts.request);
 //   switch (machine.Apply(RelayEvent::kTargetChosen)) ...
 //
-// The chart is where these promises are kept, and relay_chart_test goes through
-// every event in every state to hold them:
+// The chart guarantees the following, and relay_chart_test checks it for every
+// event in every state:
 //   - Once a request may have run, no state forgets it: it is never refused as
-//     not run, and it is charged for. From `trying`, which has nothing behind
-//     it, the three events that say "may have run" lead to the states that mean
-//     it (choosing_again, trying_again, streaming, choosing_to_resume,
-//     resuming), and from those nothing leads back.
-//   - A caller gets one final answer: every ending is an arrow into `ended`,
-//     and `ended` answers nobody.
-//   - What was held of a budget is settled once, with that arrow. A hold that
-//     is granted to a request that has ended is returned at once.
+//     not run, and it is charged for. In `trying` no earlier attempt may have
+//     run. Its three events that mean "may have run" lead to the states that
+//     record it (choosing_again, trying_again, streaming, choosing_to_resume,
+//     resuming), and none of those leads back.
+//   - A caller gets one final answer: every end is a transition to `ended`, and
+//     no transition from `ended` answers the caller.
+//   - A hold on a budget is settled once, with that transition. A hold that is
+//     granted to a request that has ended is returned at once.
 //
-// An attempt is one send to one target. Events that end one come in two kinds,
-// by what is known of that attempt alone (relay/ran.h); the state knows about
-// those before it.
+// An attempt is one send to one target. Events that end an attempt come in two
+// kinds, by whether that attempt may have run (relay/ran.h); the state covers
+// the attempts before it.
 //
-// Events of a stream do not go through the chart, but for the first of each
-// attempt: they are too many, and change nothing.
+// Only the first event of a stream in each attempt goes through the chart:
+// later ones are too many, and change no state.
 
 #ifndef QUAYTRACK_RELAY_RELAY_CHART_H_
 #define QUAYTRACK_RELAY_RELAY_CHART_H_
@@ -37,21 +37,21 @@
 
 enum class RelayState {
   kAdmitting,
-  // Waits for the answer whether its worst case can be held of the budget.
+  // Waits for its worst case to be held of the budget.
   kAwaitingHold,
-  // A target is being chosen; no attempt may have run.
+  // A target is being chosen; no attempt may have run the request.
   kChoosing,
-  // At a target; no attempt before this one may have run.
+  // At a target; no earlier attempt may have run the request.
   kTrying,
-  // The same two after an attempt that may have run.
+  // The same two states after an attempt that may have run.
   kChoosingAgain,
   kTryingAgain,
-  // The target of this attempt has sent events, and they were passed on.
+  // The target of this attempt has sent events, which were forwarded.
   kStreaming,
-  // The stream broke: another target is to go on with it.
+  // The stream broke off, and another target is to continue it.
   kChoosingToResume,
   kResuming,
-  // The caller has left a call that must not be repeated, which runs on.
+  // The caller has left, but the call must not be repeated and runs on.
   kCallerLeft,
   kEnded,
 };
@@ -63,37 +63,37 @@
   kTargetChosen,
   // The first event of a stream in this attempt.
   kFirstEvent,
-  // A whole answer came that is the caller's.
+  // A complete answer arrived that can be forwarded.
   kAnswerComplete,
-  // The attempt is over, and the request will be sent again.
+  // The attempt has ended, and the request will be sent again.
   kRetryNotRun,
   kRetryMayHaveRun,
-  // The attempt is over, if there was one, and the request with it.
+  // The attempt, if there was one, and the request have ended.
   kGiveUpNotRun,
   kGiveUpMayHaveRun,
   // The caller closed its connection, and the attempt was stopped.
   kCallerGoneNotRun,
   kCallerGoneMayHaveRun,
-  // It closed its connection, and the call is left to run to its end.
+  // The caller closed its connection, and the call runs to its end.
   kCallerGoneCallRunsOn,
 };
 
 enum class RelayAction {
   kNone,
   kTakeHold,
-  // Returns what was granted too late.
+  // Returns a hold that was granted after the end.
   kReturnHold,
   kChoose,
   kSend,
   kBeginStream,
-  // The ends. Each says what the caller gets, and whether it has run.
-  kReply,        // the target's whole answer
+  // The ends, by what the caller gets and whether the request has run.
+  kReply,        // the target's complete answer
   kEndStream,    // the end of the target's stream
-  kAbortStream,  // a stream that is visibly cut
-  kRefuse,       // an error, with the promise that it has not run
+  kAbortStream,  // a stream that is visibly cut short
+  kRefuse,       // an error, guaranteeing that it has not run
   kFail,         // an error, for a request that may have run
-  kDrop,         // nothing: the caller has gone, and nothing has run
-  kAbandon,      // nothing: the caller has gone, and it may have run
+  kDrop,         // nothing: the caller has left; it has not run
+  kAbandon,      // nothing: the caller has left; it may have run
 };
 
 template <>
@@ -150,8 +150,8 @@
 
 using RelayChart = Chart<RelayState, RelayEvent, RelayAction>;
 
-// All charts of `quaytrack relay`; bound once, at start, and kept until the
-// last request has ended.
+// All charts of `quaytrack relay`. They are bound once at start and must
+// outlive the last request.
 struct RelayCharts {
   RelayChart request;
   DrainChart drain;
--- a/relay/relay_context.h
+++ b/relay/relay_context.h
@@ -1,9 +1,9 @@
-// The parts of the relay that a request uses on its way.
+// RelayContext holds references to the parts of the router that a request uses.
 //
-// RelayRouter owns them all; each must outlive every request. A request changes
-// them only through their own interfaces, and nothing of the context itself.
-// The configuration is not among them: a request keeps the one under which it
-// was admitted.
+// RelayRouter owns them all, and each must outlive every request. A request
+// changes them only through their own interfaces, and never changes the context
+// itself. The configuration is not part of it: a request keeps the one that it
+// was admitted under.
 
 #ifndef QUAYTRACK_RELAY_RELAY_CONTEXT_H_
 #define QUAYTRACK_RELAY_RELAY_CONTEXT_H_
@@ -28,10 +28,10 @@
 class CrashWatch;
 class RolloutDriver;
 
-// A prompt that was sent to an engine, for the peers.
+// A prompt that was sent to an engine, as announced to peers.
 struct SentPrompt {
   TargetName target;
-  // Tokens of it that aren't cached there.
+  // Tokens of the prompt that the engine has not cached.
   Tokens prefill = 0;
 };
 
@@ -41,7 +41,7 @@
   const RelayChart& chart;
   const CallerDialect& callers;
   const TargetDialect& target_dialect;
-  // The way of a request, in this order.
+  // Used by each request, in this order.
   RunningRequests& requests;
   std::minstd_rand& random;
   BudgetDriver& budgets;
@@ -53,7 +53,7 @@
   RelayMetrics& metrics;
   const PlannedStop& stop;
   std::function<void(const SentPrompt& sent)> tell_peers;
-  // A target has said in an answer that it leaves.
+  // Called when a target's answer states that the target is leaving.
   std::function<void(const TargetEntry& target)> target_leaves;
 };
 
--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -13,16 +13,15 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-// A caller that takes less than it is sent is buffered up to this many bytes;
-// then reading from the target stops until the buffer has drained. Not
-// measured.
-constexpr std::size_t kMostUnsent = 64 * 1024;
+// Bytes that are buffered for a slow caller. Beyond this, reading from the
+// target stops until the buffer has drained.
+constexpr std::size_t kMaxUnsentBytes = 64 * 1024;
 
-// Events of an attempt from which the pause between them is reckoned.
-constexpr int kLeastEventsOfAPause = 3;
+// The mean pause between events is reported only from this many events on.
+constexpr int kMinEventsForMeanPause = 3;
 
-// Targets are told one priority: the customer's goes first, and routes are told
-// apart by this many levels within it. Not measured.
+// A target receives a single priority: the customer's priority is the major
+// part, and within it routes are ranked on this many levels.
 constexpr int kRouteLevels = 3;
 
 }  // namespace
@@ -87,8 +86,8 @@
     case RelayAction::kRefuse:
       return AnswerCaller(Ran::kNo);
     case RelayAction::kFail:
-      // Whatever ended the last attempt, the request has failed at a target
-      // that may have run it.
+      // Whatever ended the last attempt, a target that may have run the request
+      // has failed. Only kTimedOut and kStopped stay the cause.
       if (cause_ != RelayCause::kTimedOut && cause_ != RelayCause::kStopped) {
         cause_ = RelayCause::kTargetFailed;
       }
@@ -101,9 +100,9 @@
 }
 
 std::size_t RunningRequests::CountBegunBefore(Instant time) const {
-  return static_cast<std::size_t>(
-      std::count_if(all_.begin(), all_.end(),
-                    [time](const auto& it) { return it->begun() < time; }));
+  return static_cast<std::size_t>(std::count_if(
+      all_.begin(), all_.end(),
+      [time](const auto& it) { return it->started_at() < time; }));
 }
 
 // --- Before a target ---------------------------------------------------------
@@ -127,21 +126,22 @@
                              : RelayCause::kBudgetUnavailable);
 }
 
-// What is known of it may have come while it waited or ran elsewhere.
+// Checked before each send, as reports may arrive while the request waits or
+// runs at another target.
 bool RelayedRequest::IsBlamed() {
-  return context_.crashes.IsWatching() &&
+  return context_.crashes.HasReports() &&
          context_.crashes.IsBlamed(fingerprint());
 }
 
 void RelayedRequest::RefuseBlamed() {
-  wait_ = context_.crashes.Remaining(fingerprint());
-  LogBlamedRefused(id(), fingerprint(), *wait_);
+  retry_after_ = context_.crashes.Remaining(fingerprint());
+  LogBlamedRefused(id(), fingerprint(), *retry_after_);
   GiveUp(Ran::kNo, RelayCause::kCrashesTargets);
 }
 
 void RelayedRequest::Choose() {
   if (IsBlamed()) return RefuseBlamed();
-  if (Left() < kLeastTimeToSend) return OnDeadline();
+  if (Left() < kMinTimeToSend) return OnDeadline();
   const auto choice =
       context_.placement.Choose(context_.clock.Now(), admission_.placement);
   if (!choice) return GiveUp(Ran::kNo, CauseOfNoChoice());
@@ -169,15 +169,16 @@
   admission_.placement.tried.insert(target);
   sent_at_ = context_.clock.Now();
   progress_.head_at.reset();
-  events_since_.reset();
+  first_event_at_.reset();
   may_have_crashed_ = false;
   prefill_ = context_.placement.OnSent(sent_at_, target, admission_.placement,
                                        progress_.choice.is_preferred);
-  TellPeersOfPrompt();
+  AnnouncePrompt();
   attempt_events_ = 0;
   answer_facts_ = {};
   body_.clear();
-  // Of the target before; this one is read until its bytes wait as well.
+  // Reading was paused for the previous target; the new one is read until the
+  // caller's buffer is full again.
   paused_ = false;
   events_.DropPartial();
 
@@ -192,7 +193,7 @@
                                       : FirstAnswerTimeout(route, Left()));
 }
 
-void RelayedRequest::TellPeersOfPrompt() const {
+void RelayedRequest::AnnouncePrompt() const {
   if (!context_.placement.IsWorthTelling(admission_.placement, prefill_))
     return;
   context_.tell_peers({progress_.choice.target.name, prefill_});
@@ -229,13 +230,14 @@
   if (RanInAttempt() == Ran::kNo) {
     return EndAttempt(Ran::kNo, PlacementOutcome::kFailed);
   }
-  // The connection has opened in time; the answer has a timeout of its own.
+  // The connection has opened in time; the answer has its own timeout.
   const Duration waited = context_.clock.Now() - sent_at_;
   const Duration timeout = FirstAnswerTimeout(*admission_.route, Left());
   const bool answering = machine_.state() == RelayState::kStreaming;
   if (!answering && waited < timeout) return SetAttemptTimer(timeout - waited);
-  // Not stopped for nothing: only if it may be sent to another target. So the
-  // retry is taken first here, and last in `EndAttempt`.
+  // The attempt is stopped only if the request may be sent to another target,
+  // so the retry is taken before the attempt ends. `EndAttempt` takes it
+  // afterwards.
   if (!TakeRetry(Ran::kUnknown)) return;
   ReportStopped();
   StopAttempt(PlacementOutcome::kFailed);
@@ -251,7 +253,7 @@
   progress_.head_at = context_.clock.Now();
   answer_facts_ = facts;
   const TargetEntry& target = progress_.choice.target;
-  HeedTarget();
+  HandleTargetNotices();
   if (!context_.placement.IsListed(target)) return true;
   context_.placement.OnAlive(*progress_.head_at, target.name, sent_at_);
   if (facts.cold_for > milliseconds(0)) {
@@ -260,9 +262,9 @@
   return true;
 }
 
-// What the answer's head says of its target, whether that is still listed or
-// not: an entry may be missing for a while.
-void RelayedRequest::HeedTarget() {
+// Applies what the head of the answer states about its target. The target may
+// be missing from the list of targets, as an entry can disappear for a while.
+void RelayedRequest::HandleTargetNotices() {
   const TargetEntry& target = progress_.choice.target;
   if (answer_facts_.leaving) {
     LogSaysLeaving(id(), target);
@@ -282,16 +284,16 @@
 void RelayedRequest::OnBody(std::string_view bytes) {
   const auto self = shared_from_this();
   if (machine_.state() == RelayState::kEnded) return;
-  if (IsPassedOnByEvent(admission_.route->kind, answer_.status,
-                        answer_facts_.sealed)) {
-    return PassOnEvents(bytes);
+  if (IsForwardedByEvent(admission_.route->kind, answer_.status,
+                         answer_facts_.sealed)) {
+    return ForwardEvents(bytes);
   }
   body_.append(bytes);
 }
 
-// Runs for every piece of a stream, so it does no more than it must: only the
+// Runs for every chunk of a stream, so it does as little as possible: only the
 // first event of an attempt goes through the chart.
-void RelayedRequest::PassOnEvents(std::string_view bytes) {
+void RelayedRequest::ForwardEvents(std::string_view bytes) {
   const StreamEvents events = events_.Take(bytes);
   if (events.out_of_order) {
     return EndAttempt(Ran::kUnknown, PlacementOutcome::kFailed);
@@ -303,23 +305,24 @@
   } else {
     OnLaterEvents(now);
   }
-  events_at_ = now;
+  last_event_at_ = now;
   progress_.events += events.count;
   attempt_events_ += static_cast<int>(events.count);
   caller_->WriteChunk(events.bytes);
-  if (!paused_ && caller_->Unsent() > kMostUnsent) {
+  if (!paused_ && caller_->Unsent() > kMaxUnsentBytes) {
     paused_ = true;
     call_->PauseReading();
   }
-  // Nothing is read, so its time for the next event says nothing of the target.
-  // What was read before the pause may hold further events, and comes here too.
+  // While reading is paused, a missing event says nothing about the target, so
+  // the event timeout is off. Data that was read before the pause may still
+  // contain events, which arrive here as well.
   if (paused_) return attempt_timer_.reset();
   const RouteRule& route = *admission_.route;
   if (route.Repeatable()) SetAttemptTimer(NextEventTimeout(route));
 }
 
 void RelayedRequest::OnFirstEvent() {
-  events_since_ = context_.clock.Now();
+  first_event_at_ = context_.clock.Now();
   const Duration waited = context_.clock.Now() - sent_at_;
   progress_.first_event = waited;
   if (progress_.choice.first_event_ms > 0) {
@@ -334,7 +337,8 @@
 }
 
 void RelayedRequest::OnLaterEvents(Instant now) {
-  progress_.longest_pause = std::max(progress_.longest_pause, now - events_at_);
+  progress_.longest_pause =
+      std::max(progress_.longest_pause, now - last_event_at_);
 }
 
 void RelayedRequest::BeginStream() {
@@ -347,7 +351,7 @@
     self->paused_ = false;
     if (!self->call_) return;
     self->call_->ResumeReading();
-    self->events_at_ = self->context_.clock.Now();
+    self->last_event_at_ = self->context_.clock.Now();
     const RouteRule& route = *self->admission_.route;
     if (route.Repeatable()) self->SetAttemptTimer(NextEventTimeout(route));
   });
@@ -359,64 +363,65 @@
   if (state == RelayState::kEnded) return;
   const bool streaming =
       state == RelayState::kStreaming || state == RelayState::kResuming;
-  const AttemptVerdict verdict = JudgeAttempt(
+  const AttemptResult result = EvaluateAttempt(
       {end, answer_facts_, answer_.status, events_.InEvent(), streaming});
-  if (end == CallEnd::kHeldBack) return ChooseAnew(verdict);
+  if (end == CallEnd::kHeldBack) return OnSendHeldBack(result);
   if (end == CallEnd::kBroken) ReportLost();
   const bool error = IsServerError(answer_.status);
-  if (!verdict.answered ||
-      (error && MaySendAgain(FactsForRetry(verdict.ran)))) {
-    return EndAttempt(verdict.ran, verdict.outcome);
+  if (!result.answered || (error && MaySendAgain(FactsForRetry(result.ran)))) {
+    return EndAttempt(result.ran, result.outcome);
   }
-  outcome_ = verdict.outcome;
+  outcome_ = result.outcome;
   cause_ = IsSuccess(answer_.status) ? RelayCause::kServed
                                      : RelayCause::kTargetError;
   if (cause_ == RelayCause::kServed) ReportRan();
   Apply(RelayEvent::kAnswerComplete);
 }
 
-// Its target may get no work any more, and nothing was written to it: this was
-// no send, and takes nothing from the share of retries.
-void RelayedRequest::ChooseAnew(const AttemptVerdict& held_back) {
+// The target may no longer receive work, and nothing was written to it. This
+// doesn't count as a send and uses no retry.
+void RelayedRequest::OnSendHeldBack(const AttemptResult& result) {
   LogSendHeldBack(id(), progress_.choice.target);
   context_.metrics.CountHeldBack();
-  StopAttempt(held_back.outcome);
+  StopAttempt(result.outcome);
   --progress_.sends;
-  Retry(held_back.ran);
+  Retry(result.ran);
 }
 
 // --- After an attempt --------------------------------------------------------
 
-std::optional<Duration> RelayedRequest::EventsFor() const {
-  if (!events_since_) return std::nullopt;
-  return context_.clock.Now() - *events_since_;
+std::optional<Duration> RelayedRequest::TimeSinceFirstEvent() const {
+  if (!first_event_at_) return std::nullopt;
+  return context_.clock.Now() - *first_event_at_;
 }
 
 void RelayedRequest::ReportRan() {
-  if (context_.crashes.IsWatching()) context_.crashes.OnRan(fingerprint());
+  if (context_.crashes.HasReports()) context_.crashes.OnRan(fingerprint());
 }
 
-// The target has ended the connection: it may have crashed, and this request
-// may be why.
+// The target closed the connection: it may have crashed, possibly because of
+// this request.
 void RelayedRequest::ReportLost() {
-  if (CrashWatch::HasOutlived(EventsFor())) {
-    outlived_ = true;
+  if (CrashWatch::HasPassedStartPhase(TimeSinceFirstEvent())) {
+    passed_start_phase_ = true;
     ReportRan();
   }
-  if (outlived_) return;
+  if (passed_start_phase_) return;
   may_have_crashed_ = true;
-  context_.crashes.OnLost(LostNow());
+  context_.crashes.OnLost(MakeLostAttempt());
 }
 
-// The attempt is stopped from this side. Its target may be about to end, or
-// hang, because of it.
+// This router stops the attempt. Its target may be about to end, or hang,
+// because of the request.
 void RelayedRequest::ReportStopped() {
   const bool at_target = RanInAttempt() == Ran::kUnknown;
-  if (!at_target || outlived_ || CrashWatch::HasOutlived(EventsFor())) return;
-  context_.crashes.OnStopped(LostNow());
+  if (!at_target || passed_start_phase_ ||
+      CrashWatch::HasPassedStartPhase(TimeSinceFirstEvent()))
+    return;
+  context_.crashes.OnStopped(MakeLostAttempt());
 }
 
-LostAttempt RelayedRequest::LostNow() {
+LostAttempt RelayedRequest::MakeLostAttempt() {
   const Instant since = progress_.head_at.value_or(sent_at_);
   return {id(), fingerprint(), progress_.choice.target,
           context_.clock.Now() - since};
@@ -426,8 +431,8 @@
   return call_ && call_->sent() ? Ran::kUnknown : Ran::kNo;
 }
 
-// Leaves the target, if the request is at one: every way out of an attempt
-// comes through here.
+// Ends the call to the target, if there is one. Every way out of an attempt
+// goes through here.
 void RelayedRequest::StopAttempt(PlacementOutcome outcome) {
   if (!call_) return;
   ReportAnswer(outcome);
@@ -442,8 +447,9 @@
   prefill_ = 0;
 }
 
-// For the verdict on a version that is being rolled out. A refusal that is no
-// failure, and an end that came from this side, say nothing of it.
+// Reports the answer for the evaluation of a version that is being rolled out.
+// Rejections that are no failure, and attempts that this router stopped, say
+// nothing about the version.
 void RelayedRequest::ReportAnswer(PlacementOutcome outcome) const {
   const TargetEntry& target = progress_.choice.target;
   if (!context_.rollouts.IsJudging(target.service)) return;
@@ -455,23 +461,24 @@
   AnswerSeen seen;
   seen.failed = failed;
   if (!failed && has_head) seen.first = FirstOverExpected();
-  if (events_since_ && attempt_events_ >= kLeastEventsOfAPause) {
-    seen.pause =
-        ToSeconds(events_at_ - *events_since_) * 1000 / (attempt_events_ - 1);
+  if (first_event_at_ && attempt_events_ >= kMinEventsForMeanPause) {
+    seen.pause = ToSeconds(last_event_at_ - *first_event_at_) * 1000 /
+                 (attempt_events_ - 1);
   }
   context_.rollouts.OnAnswer(target.service, target.version,
                              admission_.route->name, seen);
 }
 
 double RelayedRequest::FirstOverExpected() const {
-  const Instant first = events_since_.value_or(*progress_.head_at);
+  const Instant first = first_event_at_.value_or(*progress_.head_at);
   const double took_ms = ToSeconds(first - sent_at_) * 1000;
   const double expected_ms = progress_.choice.first_event_ms;
   return expected_ms > 0 ? took_ms / expected_ms : took_ms;
 }
 
-// The attempt has failed, by itself or by its target. The deadline and a caller
-// that leaves end the whole request, and write no line about the attempt.
+// The attempt has failed, by its timeout or at its target. A deadline and a
+// caller that leaves end the whole request instead, and log no line about the
+// attempt.
 void RelayedRequest::EndAttempt(Ran ran, PlacementOutcome outcome) {
   const auto self = shared_from_this();
   StopAttempt(outcome);
@@ -491,7 +498,7 @@
   out.left = Left();
   out.sends = progress_.sends;
   out.crashes_targets =
-      may_have_crashed_ && context_.crashes.IsAtItsLast(fingerprint());
+      may_have_crashed_ && context_.crashes.IsOneCrashFromBlame(fingerprint());
   out.repeatable = route.Repeatable();
   out.max_attempts = route.max_attempts;
   return out;
@@ -536,16 +543,16 @@
   if (state == RelayState::kAwaitingHold) return OnHoldRefused(false);
   ReportStopped();
   const Ran ran = RanInAttempt();
-  // A target that is sending events is not to blame for the time.
+  // A target that is sending events is not at fault for the deadline.
   const bool answering = state == RelayState::kStreaming;
   StopAttempt(answering ? PlacementOutcome::kNeutral
                         : PlacementOutcome::kFailed);
   GiveUp(ran, RelayCause::kTimedOut);
 }
 
-// As at the deadline, but for the cause: what is known of the request is said,
-// and it costs what was handed out. Without it the exit of the process would
-// cut each of these connections without an answer, and charge the whole hold.
+// As OnDeadline, with another cause: the caller learns whether the request may
+// have run, and is charged its cost. Otherwise the exit of the process would
+// cut the connection without an answer, and charge the complete hold.
 void RelayedRequest::EndForStop(Duration left) {
   const auto self = shared_from_this();
   if (machine_.state() == RelayState::kEnded) return;
@@ -568,7 +575,7 @@
   if (state == RelayState::kEnded) return;
   LeaveHoldQueue();
   const Ran ran = RanInAttempt();
-  // A call that must not be repeated is left to end by itself.
+  // A call that must not be repeated runs on to its end.
   const bool runs_on = ran == Ran::kUnknown &&
                        admission_.route->kind == RouteKind::kNonIdempotent;
   if (runs_on) return Apply(RelayEvent::kCallerGoneCallRunsOn);
@@ -586,12 +593,13 @@
 }
 
 void RelayedRequest::AnswerCaller(Ran ran) {
-  const FinalAnswer answer = MakeFinalAnswer(cause_, ran, wait_);
+  const FinalAnswer answer = MakeFinalAnswer(cause_, ran, retry_after_);
   caller_->Reply(answer.head, answer.body);
   End(ran);
 }
 
-// The chart leads here once. `ran` is of all attempts together.
+// The chart selects an end once per request. `ran` covers all attempts
+// together.
 void RelayedRequest::End(Ran ran) {
   StopAttempt(outcome_);
   deadline_timer_.reset();
@@ -611,9 +619,9 @@
 }
 
 int RelayedRequest::EndStatus(Ran ran) const {
-  const bool passed_on =
+  const bool forwarded =
       cause_ == RelayCause::kServed || cause_ == RelayCause::kTargetError;
-  if (passed_on) return answer_.status;
+  if (forwarded) return answer_.status;
   return stream_cut_ ? 0 : FinalStatus(cause_, ran);
 }
 
--- a/relay/relayed_request.h
+++ b/relay/relayed_request.h
@@ -1,38 +1,37 @@
-// One request on its way: from a caller, through its customer's budget, to a
-// target, and its answer back.
+// RelayedRequest carries one request from its caller, through its customer's
+// budget, to a target, and the answer back.
 //
-//   admit -> hold budget -> choose a target -> send -> pass on -> settle
+//   admit -> hold budget -> choose a target -> send -> forward -> settle
 //
 //   std::make_shared<RelayedRequest>(context, map, caller, request)->Start();
 //
-// chart/charts/relay.json is the map of this way (relay/relay_chart.h): what
-// happens to the request goes through the chart as an event, and this class
-// does what the arrow says. The rules that decide stand elsewhere, without
-// sockets and timers:
+// The states and transitions are those of chart/charts/relay.json
+// (relay/relay_chart.h): each occurrence goes through the chart as an event,
+// and this class performs the action that the chart returns. The rules are
+// implemented elsewhere, without sockets and timers:
 //
-//   relay/admission.h     which requests are taken, and their deadline
+//   relay/admission.h     which requests are admitted, and their deadline
 //   dispatch/placement.h  which target
-//   relay/attempt.h       how long to wait for it, and what its answer means
-//   relay/retry.h         whether another target gets the request
-//   relay/final_answer.h  what the caller is told, and when to come back
+//   relay/attempt.h       timeouts of an attempt, and what its answer means
+//   relay/retry.h         whether the request is sent to another target
+//   relay/final_answer.h  the router's own answer, and its Retry-After
 //   relay/request_cost.h  what the customer is charged
-//   relay/request_log.h   what the log says about it
+//   relay/request_log.h   log lines about the request
 //
-// What a request owns: its caller's exchange, at most one call to a target, its
-// place in RunningRequests, the hold on its customer's budget and its timers.
-// All are given back when it ends, and it ends once. It relies on the parts in
-// RelayContext to outlive it.
+// A request owns its caller's exchange, at most one call to a target, its entry
+// in RunningRequests, the hold on its customer's budget and its timers. It
+// releases them all when it ends, and it ends once. The objects in RelayContext
+// must outlive it.
 //
-// What is promised, and where it is kept:
-//   - a request that may have run is never called not run (the chart), and one
+// Guarantees, and where they are implemented:
+//   - A request that may have run is never reported as not run (the chart). One
 //     that must not be repeated is sent again only if it certainly has not run
-//     (`MaySendAgain`);
-//   - an answer is passed on only if the target vouches for it and it answers
-//     this request, and one that ends early never looks complete
-//     (`JudgeAttempt`, `AbortStream`);
-//   - the final answer comes at once when the request is given up
-//     (`GiveUp`);
-//   - what was held of the budget is settled once (`End`).
+//     (`MaySendAgain`).
+//   - An answer is forwarded only if its target vouches for it and it answers
+//     this request. An answer that is cut short never looks complete
+//     (`EvaluateAttempt`, `AbortStream`).
+//   - The final answer is sent at once when the request is given up (`GiveUp`).
+//   - A hold on the budget is settled once (`End`).
 
 #ifndef QUAYTRACK_RELAY_RELAYED_REQUEST_H_
 #define QUAYTRACK_RELAY_RELAYED_REQUEST_H_
@@ -63,22 +62,22 @@
 class RelayedRequest : public HoldWaiter,
                        public std::enable_shared_from_this<RelayedRequest> {
  public:
-  // `map` is the configuration in force; null before the first.
+  // `map` is the current configuration; null before the first one.
   RelayedRequest(const RelayContext& context, ServiceMapPtr map,
                  std::shared_ptr<CallerConnection> caller,
                  CallerRequest request);
 
   void Start();
 
-  // The budget's answer, for a request that had to wait for it.
+  // Results of a hold that the request had to wait for.
   void OnHeld() override { Apply(RelayEvent::kHoldGranted); }
   void OnHoldRefused(bool exhausted) override;
 
-  // The planned stop's time is up: the request ends. `left` until the process
-  // is killed.
+  // Ends the request when a planned stop has no more time for it. `left` is the
+  // time until the process is killed.
   void EndForStop(Duration left);
 
-  Instant begun() const { return request_.begun; }
+  Instant started_at() const { return request_.begun; }
 
   const RequestId& id() const override { return admission_.facts.id; }
   const CustomerName& customer() const override { return admission_.customer; }
@@ -94,27 +93,27 @@
   bool IsBlamed();
   void RefuseBlamed();
 
-  // The attempt at one target.
+  // One attempt at one target.
   void Send();
-  void TellPeersOfPrompt() const;
+  void AnnouncePrompt() const;
   TargetCall MakeCall() const;
   void SetAttemptTimer(Duration timeout);
   void OnAttemptTimeout();
   bool OnHead(const HttpHead& head);
-  void HeedTarget();
+  void HandleTargetNotices();
   void OnBody(std::string_view bytes);
-  void PassOnEvents(std::string_view bytes);
+  void ForwardEvents(std::string_view bytes);
   void OnFirstEvent();
   void OnLaterEvents(Instant now);
   void BeginStream();
   void OnCallEnd(CallEnd end);
-  void ChooseAnew(const AttemptVerdict& held_back);
+  void OnSendHeldBack(const AttemptResult& result);
   Ran RanInAttempt() const;
-  std::optional<Duration> EventsFor() const;
+  std::optional<Duration> TimeSinceFirstEvent() const;
   void ReportRan();
   void ReportLost();
   void ReportStopped();
-  LostAttempt LostNow();
+  LostAttempt MakeLostAttempt();
   void StopAttempt(PlacementOutcome outcome);
   void ReportAnswer(PlacementOutcome outcome) const;
   double FirstOverExpected() const;
@@ -129,8 +128,9 @@
   void OnCallerGone();
   void LeaveHoldQueue();
 
-  // The ends. `ran` is what is known of the attempt that is over, if any; the
-  // chart knows of those before it, and chooses the end.
+  // Ends of the request. `ran` tells whether the last attempt, if any, may have
+  // run the request; the chart's state covers the attempts before it and
+  // selects the action.
   void GiveUp(Ran ran, RelayCause cause);
   void AnswerCaller(Ran ran);
   void End(Ran ran);
@@ -145,45 +145,44 @@
   ChartMachine<RelayState, RelayEvent, RelayAction> machine_;
   Admission admission_;
   std::unique_ptr<Timer> deadline_timer_;
-  // Part of the budget is held, and must be settled.
+  // The request holds tokens of the budget, which must be settled.
   bool held_ = false;
 
-  // The attempt. `call_` is there while the request is at a target; the rest
-  // stays as the latest attempt has left it.
+  // The attempt. `call_` is set while the request is at a target; the other
+  // members keep the values of the latest attempt.
   std::shared_ptr<CallHandle> call_;
   std::unique_ptr<Timer> attempt_timer_;
   Instant sent_at_{};
-  // When the latest events of this attempt came, and how many have come.
-  Instant events_at_{};
+  // Arrival of the latest events of this attempt, and the number of events.
+  Instant last_event_at_{};
   int attempt_events_ = 0;
-  // Tokens of the prompt that its target has still to prefill.
+  // Tokens of the prompt that the target has yet to prefill.
   Tokens prefill_ = 0;
   HttpHead answer_;
-  // What this attempt's answer says; empty until its head has come.
+  // From the head of this attempt's answer; empty until the head arrives.
   AnswerFacts answer_facts_;
-  // Of an answer that is passed on when it is whole.
+  // Body of an answer that is forwarded only when it is complete.
   std::string body_;
-  // The caller takes less than it is sent, so the target isn't read.
+  // The caller reads too slowly, so reading from the target is paused.
   bool paused_ = false;
-  // How the attempt ended, as far as it speaks for or against its target.
+  // Outcome of the attempt, as reported to the placement.
   PlacementOutcome outcome_ = PlacementOutcome::kNeutral;
 
-  // Of all attempts.
-  // Empty until it was asked for.
+  // State of all attempts. The fingerprint is empty until it is first needed.
   Fingerprint fingerprint_;
   EventReader events_;
   RequestProgress progress_;
-  // The caller got the beginning of a stream, and not its end.
+  // The caller received the start of a stream, but not its end.
   bool stream_cut_ = false;
-  // When the first event of this attempt came.
-  std::optional<Instant> events_since_;
-  // An attempt ran well beyond its beginning.
-  bool outlived_ = false;
-  // The last attempt's target may have ended because of this request.
+  // Arrival of the first event of this attempt.
+  std::optional<Instant> first_event_at_;
+  // Some attempt has run past its start phase (CrashWatch::kStartPhase).
+  bool passed_start_phase_ = false;
+  // The request may have crashed the target of the last attempt.
   bool may_have_crashed_ = false;
-  // When the caller should come back, if more is known than the cause says.
-  std::optional<Duration> wait_;
-  // Why the request ends; set with the event that ends it.
+  // Overrides the Retry-After that `cause_` implies.
+  std::optional<Duration> retry_after_;
+  // Why the request ends; set before the event that ends it.
   RelayCause cause_ = RelayCause::kServed;
 };
 
--- a/relay/request_cost.h
+++ b/relay/request_cost.h
@@ -2,16 +2,16 @@
 //
 //   const Tokens cost = CostOf({ran, worst_case, prompt_tokens, events, 3});
 //
-// Rule. A request that has not run costs nothing. One that may have run costs
-// its prompt, once however often it was sent, and the tokens of every event
-// that was passed on to the caller. The cost never passes the worst case, which
-// is what was held of the budget (relay/hold_waiter.h).
+// Rule: a request that has not run costs nothing. One that may have run costs
+// its prompt, once however often it was sent, plus the tokens of every event
+// that was forwarded to the caller. The cost never exceeds the worst case,
+// which is the amount held of the budget (relay/hold_waiter.h).
 //
-// Reason. The budget is the sum of what targets hand out, so whatever may have
-// been handed out is charged. What a target has produced and this router hasn't
-// read is not known here, and is left out. The part of each limit that the
-// ledger never grants is there for such differences (`PrepaidPolicy::reserve`
-// in prepaid/prepaid_policy.h).
+// Reason: the budget pays for what targets produce, so whatever may have been
+// produced is charged. What a target has produced but this router hasn't read
+// is unknown here, and is left out. The share of each limit that the ledger
+// never grants covers such differences (`PrepaidPolicy::reserve` in
+// prepaid/prepaid_policy.h).
 
 #ifndef QUAYTRACK_RELAY_REQUEST_COST_H_
 #define QUAYTRACK_RELAY_REQUEST_COST_H_
@@ -28,7 +28,7 @@
   Ran ran = Ran::kNo;
   Tokens worst_case = 0;
   Tokens prompt_tokens = 0;
-  // Events passed on, of all attempts together.
+  // Events forwarded, of all attempts together.
   int events = 0;
   // Tokens in one event.
   int event_tokens = 1;
--- a/relay/retry.cc
+++ b/relay/retry.cc
@@ -4,8 +4,8 @@
 
 bool MaySendAgain(const RetryFacts& facts) {
   if (facts.caller_gone || facts.crashes_targets) return false;
-  if (facts.left < kLeastTimeToSend) return false;
-  if (facts.sends >= kMostSends) return false;
+  if (facts.left < kMinTimeToSend) return false;
+  if (facts.sends >= kMaxSends) return false;
   if (facts.ran == Ran::kNo) return true;
   return facts.repeatable && facts.sends < facts.max_attempts;
 }
--- a/relay/retry.h
+++ b/relay/retry.h
@@ -1,28 +1,28 @@
-// Whether a request is sent again, to another target. The whole rule stands
-// here:
+// Decides whether a request is sent again, to another target. The complete
+// rule:
 //
-//   1. `MaySendAgain`, by what is known of the request alone:
-//      - its caller is still there, and enough of its time is left;
+//   1. `MaySendAgain`, from what is known about the request alone:
+//      - its caller is still connected, and enough of its time is left;
 //      - it has not been sent too often;
-//      - it isn't known to crash targets, nor would be if it has just crashed
+//      - it isn't known to crash targets, and wouldn't be if it has just
+//      crashed
 //        this one (relay/crash_watch.h);
-//      - if the attempt may have run, its route allows that it runs again, and
-//        allows another target.
-//   2. Another target is there (`Placement::Choose` with those tried left out).
+//      - if the attempt may have run, its route allows repetition, and allows
+//        another target.
+//   2. Another target is available (`Placement::Choose` without those tried).
 //   3. The service's retries are within their share (dispatch/retry_share.h).
 //
-// 1 comes first as it is free, 3 last as it counts the retry. A target that
-// turned the request away, or never got it, has not run it, so the route's
-// number of targets doesn't keep it from being sent again; but its send counts
-// among those that the number is compared with once an attempt may have run.
-// For 3 every send counts, since the load on the service's targets is bounded
-// there.
+// Condition 1 is checked first as it is free, and 3 last as it counts the
+// retry. A target that turned the request away, or never received it, has not
+// run it, so the route's `max_attempts` doesn't prevent another send. That send
+// still counts towards `max_attempts` once an attempt may have run. Every send
+// counts for 3, which bounds the load on the service's targets.
 //
 //   shares.OnRequest(now, service);                       // once a request
 //   if (shares.TakeRetry(now, facts, placement, request)) // after an attempt
 //
-// Units: durations are std::chrono's; the clock is passed in. There are no
-// errors.
+// RetryShares owns one RetryShare a service. Durations are std::chrono's; the
+// clock is passed in. There are no errors.
 
 #ifndef QUAYTRACK_RELAY_RETRY_H_
 #define QUAYTRACK_RELAY_RETRY_H_
@@ -39,23 +39,24 @@
 namespace quaytrack {
 
 // A request with less time than this until its deadline is not sent, as no
-// answer would come in time. Not measured.
-inline constexpr Duration kLeastTimeToSend = std::chrono::milliseconds(30);
+// answer would arrive in time.
+inline constexpr Duration kMinTimeToSend = std::chrono::milliseconds(30);
 
-// Sends of one request, those that were turned away included. Not measured.
-inline constexpr int kMostSends = 3;
+// Sends of one request, including those that a target turned away.
+inline constexpr int kMaxSends = 3;
 
 struct RetryFacts {
-  // Of the attempt that is over.
+  // Of the attempt that has ended.
   Ran ran = Ran::kUnknown;
   bool caller_gone = false;
-  // Its targets may have ended because of it, as often as is allowed.
+  // The attempt may have crashed its target, and one more crash would mark the
+  // request as one that crashes targets.
   bool crashes_targets = false;
   // Until the deadline.
   Duration left{};
-  // How often the request was sent, this attempt included.
+  // Number of sends, including this attempt.
   int sends = 0;
-  // What the route says: `RouteRule::Repeatable` and `max_attempts`.
+  // From the route: `RouteRule::Repeatable` and `max_attempts`.
   bool repeatable = false;
   int max_attempts = 1;
 };
@@ -67,7 +68,7 @@
  public:
   explicit RetryShares(const RetryShareOptions& options) : options_(options) {}
 
-  // How many routers share what a service allows.
+  // Number of routers that share what a service allows.
   void SetRouters(std::size_t routers) { routers_ = routers; }
 
   // A request for the service was admitted.
@@ -75,7 +76,7 @@
     ShareOf(service).OnRequest(now);
   }
 
-  // Decides, by the rule above, and counts the retry if there is one.
+  // Applies the rule above, and counts the retry if it is allowed.
   bool TakeRetry(Instant now, const RetryFacts& facts,
                  const Placement& placement, const PlacementRequest& request);
 
@@ -84,7 +85,7 @@
 
   RetryShareOptions options_;
   std::size_t routers_ = 1;
-  // Made on first use.
+  // Created on first use.
   std::map<ServiceName, RetryShare> shares_;
 };
 
--- a/relay/running_requests.h
+++ b/relay/running_requests.h
@@ -1,10 +1,10 @@
-// The requests that are on their way through this router.
+// RunningRequests holds the requests that this router is serving.
 //
 //   requests.Add(request);        // keeps it alive
 //   requests.Remove(request);     // after its end
 //
-// Each request adds itself when it starts. The planned stop waits until none is
-// left (relay/relay_router.h).
+// Each request adds itself when it starts. A planned stop waits until the set
+// is empty (relay/relay_router.h).
 
 #ifndef QUAYTRACK_RELAY_RUNNING_REQUESTS_H_
 #define QUAYTRACK_RELAY_RUNNING_REQUESTS_H_
@@ -23,13 +23,13 @@
  public:
   void Add(const std::shared_ptr<RelayedRequest>& it) { all_.insert(it); }
   void Remove(const std::shared_ptr<RelayedRequest>& it) { all_.erase(it); }
-  // `action` must neither add nor remove one; a request that ends is removed
-  // later.
+  // `action` must neither add nor remove requests; a request that ends is
+  // removed later.
   template <class Action>
   void ForEach(Action&& action) const {
     for (const auto& it : all_) action(*it);
   }
-  // Those whose first byte came before `time`.
+  // Counts the requests whose first byte arrived before `time`.
   std::size_t CountBegunBefore(Instant time) const;
   bool empty() const { return all_.empty(); }
   std::size_t size() const { return all_.size(); }
--- a/relay/testing/admission_test.cc
+++ b/relay/testing/admission_test.cc
@@ -1,4 +1,5 @@
-// Which requests are admitted, under which deadline, and why others are not.
+// Tests which requests are admitted, with which deadline and worst-case cost,
+// and the cause of each refusal.
 
 #include "relay/admission.h"
 
@@ -10,7 +11,7 @@
 namespace leaf = boost::leaf;
 using std::chrono::milliseconds;
 
-// Reads every head as the same facts, or none.
+// Returns the same facts for every head, or an error.
 class FixedDialect : public CallerDialect {
  public:
   leaf::result<RequestFacts> Read(const HttpHead&) const override {
@@ -98,11 +99,12 @@
   BOOST_TEST(!AdmitTo("/open/x"));
   BOOST_TEST(admission.worst_case == 0);
   BOOST_TEST(!admission.placement.ForEngine());
-  // No key was needed, so none was looked at.
+  // The route needs no key, so the request's key isn't looked up.
   BOOST_TEST(admission.customer.empty());
 }
 
-// An engine's request that names no prompt is still placed as one.
+// A request to an engine that states no prompt size is still placed on an
+// engine.
 BOOST_FIXTURE_TEST_CASE(AnEngineRequestIsPlacedAsSuchWithoutTokens, Fixture) {
   dialect.facts.prompt_tokens = 0;
   dialect.facts.most_tokens_out = 0;
@@ -155,7 +157,7 @@
   BOOST_TEST(!AdmitTo("/north/x"));
   BOOST_TEST(admission.placement.residency.Allows(RegionName("north")));
   BOOST_TEST(!admission.placement.residency.Allows(RegionName("south")));
-  // Nobody's key is asked for there.
+  // An open route looks up no customer, so it has no customer's regions.
   BOOST_TEST(!AdmitTo("/open/x"));
   BOOST_TEST((admission.placement.residency == Residency()));
 }
--- a/relay/testing/attempt_test.cc
+++ b/relay/testing/attempt_test.cc
@@ -1,4 +1,5 @@
-// How long an attempt may take, and what its end means.
+// Tests the timeouts of an attempt, which answers are forwarded, and how each
+// end of an attempt is evaluated.
 
 #include "relay/attempt.h"
 
@@ -58,10 +59,10 @@
   BOOST_TEST(AnswersRequest(answer, id));
   answer.request = RequestId("r-2");
   BOOST_TEST(!AnswersRequest(answer, id));
-  // Not even to say that it has not run.
+  // Not even an answer which states that nothing has run.
   answer.not_run = true;
   BOOST_TEST(!AnswersRequest(answer, id));
-  // Without an id, it counts only if it says so.
+  // An answer without an id counts only if it states that nothing has run.
   answer.request = {};
   BOOST_TEST(AnswersRequest(answer, id));
   answer.not_run = false;
@@ -69,19 +70,19 @@
 }
 
 BOOST_AUTO_TEST_CASE(ASuccessNeedsItsSealAndAnErrorDoesNot) {
-  BOOST_TEST(MayPassOn(200, true));
-  BOOST_TEST(!MayPassOn(200, false));
-  BOOST_TEST(!MayPassOn(299, false));
-  BOOST_TEST(MayPassOn(300, false));
-  BOOST_TEST(MayPassOn(404, false));
-  BOOST_TEST(MayPassOn(500, false));
+  BOOST_TEST(MayForward(200, true));
+  BOOST_TEST(!MayForward(200, false));
+  BOOST_TEST(!MayForward(299, false));
+  BOOST_TEST(MayForward(300, false));
+  BOOST_TEST(MayForward(404, false));
+  BOOST_TEST(MayForward(500, false));
 }
 
 BOOST_AUTO_TEST_CASE(OnlySealedSuccessesOfStreamsArePassedOnByEvent) {
-  BOOST_TEST(IsPassedOnByEvent(RouteKind::kStreaming, 200, true));
-  BOOST_TEST(!IsPassedOnByEvent(RouteKind::kStreaming, 200, false));
-  BOOST_TEST(!IsPassedOnByEvent(RouteKind::kStreaming, 503, true));
-  BOOST_TEST(!IsPassedOnByEvent(RouteKind::kIdempotent, 200, true));
+  BOOST_TEST(IsForwardedByEvent(RouteKind::kStreaming, 200, true));
+  BOOST_TEST(!IsForwardedByEvent(RouteKind::kStreaming, 200, false));
+  BOOST_TEST(!IsForwardedByEvent(RouteKind::kStreaming, 503, true));
+  BOOST_TEST(!IsForwardedByEvent(RouteKind::kIdempotent, 200, true));
 }
 
 BOOST_AUTO_TEST_CASE(HeadersOfOneConnectionArentPassedOn) {
@@ -99,7 +100,7 @@
   BOOST_TEST(out.headers[0].name == "X-Public");
 }
 
-struct Judged {
+struct EndCase {
   const char* what;
   AttemptFacts facts;
   bool answered;
@@ -133,43 +134,43 @@
   return out;
 }
 
-const Judged kJudged[] = {
+const EndCase kEndCases[] = {
     {"not sent", Facts(CallEnd::kNotSent, 0, false), false, Ran::kNo,
      PlacementOutcome::kFailed},
     {"held back", Facts(CallEnd::kHeldBack, 0, false), false, Ran::kNo,
      PlacementOutcome::kNeutral},
     {"broken before an answer", Facts(CallEnd::kBroken, 0, false), false,
      Ran::kUnknown, PlacementOutcome::kFailed},
-    {"broken in an answer", Facts(CallEnd::kBroken, 200), false, Ran::kUnknown,
-     PlacementOutcome::kFailed},
-    // The statement that nothing ran has to be whole as well.
-    {"broken in a refusal", NotRun(CallEnd::kBroken), false, Ran::kUnknown,
+    {"broken within an answer", Facts(CallEnd::kBroken, 200), false,
+     Ran::kUnknown, PlacementOutcome::kFailed},
+    // The statement that nothing has run must be complete as well.
+    {"broken within a refusal", NotRun(CallEnd::kBroken), false, Ran::kUnknown,
      PlacementOutcome::kFailed},
     {"turned away", NotRun(CallEnd::kComplete), false, Ran::kNo,
      PlacementOutcome::kTurnedAway},
     {"without a seal", Facts(CallEnd::kComplete, 200, false), false,
      Ran::kUnknown, PlacementOutcome::kFailed},
-    {"ended in an event", InEvent(), false, Ran::kUnknown,
+    {"ended within an event", InEvent(), false, Ran::kUnknown,
      PlacementOutcome::kFailed},
     {"an error in a stream", Streaming(500), false, Ran::kUnknown,
      PlacementOutcome::kFailed},
     {"the end of a stream", Streaming(200), true, Ran::kUnknown,
      PlacementOutcome::kGood},
-    {"a whole answer", Facts(CallEnd::kComplete, 200), true, Ran::kUnknown,
+    {"a complete answer", Facts(CallEnd::kComplete, 200), true, Ran::kUnknown,
      PlacementOutcome::kGood},
-    {"a caller's error", Facts(CallEnd::kComplete, 404, false), true,
+    {"a client error", Facts(CallEnd::kComplete, 404, false), true,
      Ran::kUnknown, PlacementOutcome::kGood},
-    {"a server's error", Facts(CallEnd::kComplete, 500, false), true,
+    {"a server error", Facts(CallEnd::kComplete, 500, false), true,
      Ran::kUnknown, PlacementOutcome::kNeutral},
 };
 
 BOOST_AUTO_TEST_CASE(EachEndHasItsMeaning) {
-  for (const Judged& it : kJudged) {
-    const AttemptVerdict verdict = JudgeAttempt(it.facts);
+  for (const EndCase& it : kEndCases) {
+    const AttemptResult result = EvaluateAttempt(it.facts);
     BOOST_TEST_CONTEXT(it.what) {
-      BOOST_TEST(verdict.answered == it.answered);
-      BOOST_TEST(NameOf(verdict.ran) == NameOf(it.ran));
-      BOOST_TEST((verdict.outcome == it.outcome));
+      BOOST_TEST(result.answered == it.answered);
+      BOOST_TEST(NameOf(result.ran) == NameOf(it.ran));
+      BOOST_TEST((result.outcome == it.outcome));
     }
   }
 }
--- a/relay/testing/crash_watch_test.cc
+++ b/relay/testing/crash_watch_test.cc
@@ -1,4 +1,5 @@
-// What routers report of targets that end, and how they tell each other.
+// Tests which lost attempts become crash reports, how routers exchange and
+// store the reports, and their encoding.
 
 #include "relay/crash_watch.h"
 
@@ -21,8 +22,8 @@
 constexpr char kPrefix[] = "quaytrack/crash/";
 constexpr char kOwnKey[] = "quaytrack/crash/vm-1";
 const Fingerprint kRequest{"request"};
-// Beyond the pauses before and between writes.
-constexpr Duration kWritten = milliseconds(300);
+// Exceeds the delay of a write and the interval between writes.
+constexpr Duration kWriteTime = milliseconds(300);
 
 class WallClock final : public Clock {
  public:
@@ -37,7 +38,7 @@
         alive("127.0.0.1:" + std::to_string(listener.Listen("127.0.0.1:0"))),
         watch({loop, clock, store, TheFeedChart()}, VmName("vm-1"),
               Handlers()) {
-    // A port that nothing listens at.
+    // A port without a listener.
     TcpListener gone(loop, [](int) {});
     dead = "127.0.0.1:" + std::to_string(gone.Listen("127.0.0.1:0"));
     gone.Stop();
@@ -47,7 +48,7 @@
   CrashWatch::Handlers Handlers() {
     CrashWatch::Handlers out;
     out.broadcast = [this](const PeerMessage& it) { sent.push_back(it); };
-    // As the placement has it.
+    // As Placement::IsOpenToWork.
     out.is_open_to_work = [this](const TargetEntry& it) {
       const auto at = listed.find(it.name);
       return at != listed.end() && !at->second.leaving &&
@@ -80,8 +81,8 @@
   CrashReports Written() const {
     return DecodeCrashReports(store.last_write.puts.at(0).value).value();
   }
-  // What another router has seen.
-  CrashReports SeenElsewhere(int target) const {
+  // A report of another router.
+  CrashReports ReportOfPeer(int target) const {
     return {{{kRequest, TargetStart("u-" + std::to_string(target)), clock.now,
               milliseconds(50)}},
             {}};
@@ -118,8 +119,8 @@
 
 BOOST_FIXTURE_TEST_CASE(ATargetThatLivesSpeaksAgainstNobody, Fixture) {
   Lose(Target(1, alive));
-  RunFor(loop, kWritten);
-  BOOST_TEST(!watch.IsWatching());
+  RunFor(loop, kWriteTime);
+  BOOST_TEST(!watch.HasReports());
   BOOST_TEST(sent.empty());
   BOOST_TEST(store.writes.started == 0U);
 }
@@ -131,54 +132,55 @@
   const TargetEntry gone = Target(2, dead);
   listed.erase(gone.name);
   Lose(gone);
-  // Another start of it is there by now.
+  // Another start under its name is listed by now.
   const TargetEntry before = Target(3, dead);
   listed[before.name].start = TargetStart("t-3@2");
   Lose(before);
-  RunFor(loop, kWritten);
-  BOOST_TEST(!watch.IsWatching());
+  RunFor(loop, kWriteTime);
+  BOOST_TEST(!watch.HasReports());
 }
 
-// A head says nothing of it: some targets send it with the first event, or
-// never.
+// The head of an answer doesn't show that a request runs: some targets send it
+// with the first event, or never.
 BOOST_AUTO_TEST_CASE(OnlyWhatRanWellBeyondItsBeginningIsNoCause) {
-  const Duration late = CrashWatch::kBeginning + milliseconds(1);
-  BOOST_TEST(!CrashWatch::HasOutlived(std::nullopt));
-  BOOST_TEST(!CrashWatch::HasOutlived(milliseconds(10)));
-  BOOST_TEST(CrashWatch::HasOutlived(late));
+  const Duration past = CrashWatch::kStartPhase + milliseconds(1);
+  BOOST_TEST(!CrashWatch::HasPassedStartPhase(std::nullopt));
+  BOOST_TEST(!CrashWatch::HasPassedStartPhase(milliseconds(10)));
+  BOOST_TEST(CrashWatch::HasPassedStartPhase(past));
 }
 
-// Its port still takes connections for a moment.
+// The port still accepts connections for a moment after the target has failed.
 BOOST_FIXTURE_TEST_CASE(ATargetThatClosesItsPortLateIsReported, Fixture) {
-  TcpListener late(loop, [](int fd) { ::close(fd); });
+  TcpListener listener_to_close(loop, [](int fd) { ::close(fd); });
   const std::string address =
-      "127.0.0.1:" + std::to_string(late.Listen("127.0.0.1:0"));
+      "127.0.0.1:" + std::to_string(listener_to_close.Listen("127.0.0.1:0"));
   Lose(Target(1, address));
-  BOOST_TEST(!watch.IsWatching());
-  late.Stop();
+  BOOST_TEST(!watch.HasReports());
+  listener_to_close.Stop();
   BOOST_TEST(Reported(1));
 }
 
-// It was back under its name before anybody could meet its port closed.
+// The target has restarted under its name before a probe could find its port
+// closed.
 BOOST_FIXTURE_TEST_CASE(ATargetThatIsBackAtOnceIsReported, Fixture) {
   const TargetEntry before = Target(1, alive);
   Lose(before);
   RunFor(loop, milliseconds(100));
-  BOOST_TEST(!watch.IsWatching());
+  BOOST_TEST(!watch.HasReports());
   listed[before.name].start = TargetStart("t-1@2");
   watch.OnEnded(before.start);
   BOOST_TEST(Reported(1));
-  // Of another start nothing is remembered.
+  // No attempts are remembered for the new start.
   watch.OnEnded(TargetStart("t-1@2"));
   BOOST_TEST(Reported(1));
 }
 
-// It hangs, or its caller left; then its target ends.
+// The target hangs, or the caller leaves, and the target ends later.
 BOOST_FIXTURE_TEST_CASE(WhatWasStoppedIsReportedIfItsTargetEnds, Fixture) {
   const TargetEntry target = Target(1, alive);
   watch.OnStopped({RequestId("id"), kRequest, target, milliseconds(50)});
-  RunFor(loop, kWritten);
-  BOOST_TEST(!watch.IsWatching());
+  RunFor(loop, kWriteTime);
+  BOOST_TEST(!watch.HasReports());
   watch.OnEnded(target.start);
   BOOST_TEST(Reported(1));
 }
@@ -187,17 +189,17 @@
   std::vector<StoreItem> items;
   for (int n = 1; n <= 2; ++n) {
     items.push_back({kPrefix + std::string("vm-") + std::to_string(n + 1),
-                     EncodeCrashReports(SeenElsewhere(n)), n});
+                     EncodeCrashReports(ReportOfPeer(n)), n});
   }
   items.push_back({kPrefix + std::string("vm-9"), "not a report", 3});
   BOOST_REQUIRE(store.AnswerRange(kPrefix, {StoreEnd::kDone, 3, items}));
   BOOST_TEST(watch.blame().Crashes(kRequest) == 2U);
-  BOOST_TEST(watch.IsAtItsLast(kRequest));
+  BOOST_TEST(watch.IsOneCrashFromBlame(kRequest));
   BOOST_TEST(!watch.IsBlamed(kRequest));
-  watch.OnPeer(Message(EncodeCrashReports(SeenElsewhere(3))));
+  watch.OnPeer(Message(EncodeCrashReports(ReportOfPeer(3))));
   BOOST_TEST(watch.IsBlamed(kRequest));
-  // Told again, by the store and by peers.
-  watch.OnPeer(Message(EncodeCrashReports(SeenElsewhere(3))));
+  // Repeated and unreadable reports change nothing.
+  watch.OnPeer(Message(EncodeCrashReports(ReportOfPeer(3))));
   watch.OnPeer(Message("\xff\xff"));
   watch.OnPeer(Message(""));
   BOOST_TEST(watch.blame().Crashes(kRequest) == 3U);
@@ -205,7 +207,7 @@
 
 BOOST_FIXTURE_TEST_CASE(WhatRanWellIsClearedAndTold, Fixture) {
   for (int n = 1; n <= 3; ++n) {
-    watch.OnPeer(Message(EncodeCrashReports(SeenElsewhere(n))));
+    watch.OnPeer(Message(EncodeCrashReports(ReportOfPeer(n))));
   }
   BOOST_REQUIRE(watch.IsBlamed(kRequest));
   watch.OnRan(Fingerprint("another"));
@@ -220,7 +222,7 @@
 BOOST_FIXTURE_TEST_CASE(WhatAnEarlierProcessHasSeenStays, Fixture) {
   Lose(Target(1, dead));
   BOOST_REQUIRE(Await([&] { return store.writes.started == 1U; }));
-  const StoreItem before{kOwnKey, EncodeCrashReports(SeenElsewhere(1)), 7};
+  const StoreItem before{kOwnKey, EncodeCrashReports(ReportOfPeer(1)), 7};
   BOOST_REQUIRE(store.AnswerWrite(kOwnKey, {StoreEnd::kRejected, 0, {before}}));
   BOOST_REQUIRE(Await([&] { return store.writes.started == 2U; }));
   BOOST_TEST(Written().crashes.size() == 2U);
@@ -251,15 +253,15 @@
   }
   const auto read = DecodeCrashReports(EncodeCrashReports(many));
   BOOST_REQUIRE(read.has_value());
-  BOOST_TEST(read->crashes.size() == CrashReports::kMostOfOne);
+  BOOST_TEST(read->crashes.size() == CrashReports::kMaxPerList);
 }
 
 BOOST_AUTO_TEST_CASE(AnyBytesAreReadOrRefused) {
   rc::check([](const std::string& bytes) {
     const auto it = DecodeCrashReports(bytes);
-    if (it) RC_ASSERT(it->crashes.size() <= CrashReports::kMostOfOne);
+    if (it) RC_ASSERT(it->crashes.size() <= CrashReports::kMaxPerList);
   });
-  // Real ones with a byte changed or cut off.
+  // Valid reports with a byte changed or cut short.
   const std::string real = EncodeCrashReports(
       {{{kRequest, TargetStart("t"), WallTime(milliseconds(5)), {}}},
        {{kRequest, WallTime(milliseconds(6))}}});
--- a/relay/testing/events_test.cc
+++ b/relay/testing/events_test.cc
@@ -1,4 +1,5 @@
-// The reader of streamed events.
+// Tests EventReader: incomplete, repeated and missing events, and streams cut
+// at any byte.
 
 #include "relay/events.h"
 
@@ -34,7 +35,7 @@
   BOOST_TEST(it.Take("id: 3\ndata: c\n\n").out_of_order);
 }
 
-// Whoever reads passes nothing on of bytes in which an event is missing.
+// Guards against forwarding bytes in which an event is missing.
 BOOST_AUTO_TEST_CASE(WhatCameWithAGapIsAskedForAgain) {
   EventReader it;
   it.Take("id: 1\ndata: a\n\n");
--- a/relay/testing/final_answer_test.cc
+++ b/relay/testing/final_answer_test.cc
@@ -1,5 +1,4 @@
-// What callers are told: the status, the bytes of the body and Retry-After of
-// every cause.
+// Tests the router's own answers: status, body and Retry-After of each cause.
 
 #include "relay/final_answer.h"
 
@@ -12,7 +11,7 @@
   RelayCause cause;
   Ran ran;
   int status;
-  // Empty: no such header.
+  // Empty: no Retry-After header.
   std::string retry_after;
   std::string body;
 };
@@ -63,7 +62,7 @@
   }
 }
 
-// 429 and 503 promise that the request has not run.
+// The statuses 429 and 503 guarantee that the request has not run.
 BOOST_AUTO_TEST_CASE(WhatMayHaveRunIsNeverAnsweredWithAPromise) {
   for (const auto& it : EnumTable<RelayCause>::kEntries) {
     if (it.value == RelayCause::kTargetFailed) continue;
--- a/relay/testing/relay_chart_test.cc
+++ b/relay/testing/relay_chart_test.cc
@@ -1,5 +1,5 @@
-// What the chart of a relayed request promises, over every event in every
-// state. BindChart has already refused a chart that lacks a pair.
+// Tests what the chart of a relayed request guarantees, for every event in
+// every state. BindChart has already rejected charts that lack a pair.
 
 #include "relay/relay_chart.h"
 
@@ -13,7 +13,7 @@
 namespace {
 
 using State = RelayState;
-using Happening = RelayEvent;
+using ChartEvent = RelayEvent;
 using Action = RelayAction;
 
 const RelayChart& TheChart() {
@@ -23,17 +23,17 @@
 
 struct Step {
   State from{};
-  Happening event{};
+  ChartEvent event{};
   Action action{};
   State to{};
 
-  // The event means nothing there.
+  // The event has no effect in that state.
   bool ignored() const { return to == from && action == Action::kNone; }
 };
 
 std::vector<Step> StepsFrom(State from) {
   std::vector<Step> out;
-  for (const auto& [event, name] : EnumTable<Happening>::kEntries) {
+  for (const auto& [event, name] : EnumTable<ChartEvent>::kEntries) {
     out.push_back({from, event, TheChart().ActionOf(from, event),
                    TheChart().Next(from, event)});
   }
@@ -60,16 +60,17 @@
            Action::kRefuse, Action::kFail, Action::kDrop, Action::kAbandon});
 }
 
-// Ends that tell the caller, or the budget, that nothing has run.
+// Ends that report to the caller, or to the budget, that nothing has run.
 bool SaysNotRun(Action it) {
   return IsOneOf(it, {Action::kRefuse, Action::kDrop});
 }
 
 // Events after which the request may have run.
-bool SaysMayHaveRun(Happening it) {
-  return IsOneOf(it, {Happening::kFirstEvent, Happening::kAnswerComplete,
-                      Happening::kRetryMayHaveRun, Happening::kGiveUpMayHaveRun,
-                      Happening::kCallerGoneMayHaveRun});
+bool SaysMayHaveRun(ChartEvent it) {
+  return IsOneOf(it,
+                 {ChartEvent::kFirstEvent, ChartEvent::kAnswerComplete,
+                  ChartEvent::kRetryMayHaveRun, ChartEvent::kGiveUpMayHaveRun,
+                  ChartEvent::kCallerGoneMayHaveRun});
 }
 
 bool IsAtTarget(State it) {
@@ -102,8 +103,8 @@
   }
 }
 
-// Goes through every way from the start and keeps in mind whether the request
-// may have run.
+// Follows every path from the initial state and tracks whether the request may
+// have run.
 BOOST_AUTO_TEST_CASE(WhatMayHaveRunIsNeverCalledNotRun) {
   std::set<std::pair<State, bool>> seen;
   std::vector<std::pair<State, bool>> open = {{State::kAdmitting, false}};
@@ -118,7 +119,8 @@
       open.emplace_back(it.to, may_have_run);
     }
   }
-  // One state never means both, so that the state alone can be asked.
+  // No state occurs both with and without a possible run, so the state alone
+  // tells which.
   for (const auto& [state, name] : EnumTable<State>::kEntries) {
     if (state == State::kEnded) continue;
     BOOST_TEST(seen.contains({state, false}) != seen.contains({state, true}),
@@ -126,39 +128,40 @@
   }
 }
 
-// At a target, nothing that says "may have run" goes unheard.
+// At a target, no event that means "may have run" is ignored.
 BOOST_AUTO_TEST_CASE(NoTargetsWordIsIgnored) {
   for (const Step& it : AllSteps()) {
     if (!IsAtTarget(it.from) || !SaysMayHaveRun(it.event)) continue;
     const bool repeated =
-        it.from == State::kStreaming && it.event == Happening::kFirstEvent;
-    // The caller of a call that runs on has left; it streams nothing.
+        it.from == State::kStreaming && it.event == ChartEvent::kFirstEvent;
+    // The caller has left, so the call that runs on streams nothing.
     const bool left = it.from == State::kCallerLeft &&
-                      IsOneOf(it.event, {Happening::kFirstEvent,
-                                         Happening::kCallerGoneMayHaveRun});
+                      IsOneOf(it.event, {ChartEvent::kFirstEvent,
+                                         ChartEvent::kCallerGoneMayHaveRun});
     CHECK_STEP(it.ignored() == (repeated || left), it);
   }
 }
 
 BOOST_AUTO_TEST_CASE(AHoldIsTakenOnceAndSettledWithTheEnd) {
   for (const Step& it : AllSteps()) {
-    const bool asks =
+    const bool before_hold =
         IsOneOf(it.from, {State::kAdmitting, State::kAwaitingHold});
-    const bool granted = it.event == Happening::kHoldGranted;
-    CHECK_STEP((it.action == Action::kTakeHold) == (asks && granted), it);
-    // Granted too late: nobody else would settle it.
-    const bool late = it.from == State::kEnded && granted;
-    CHECK_STEP((it.action == Action::kReturnHold) == late, it);
+    const bool granted = it.event == ChartEvent::kHoldGranted;
+    CHECK_STEP((it.action == Action::kTakeHold) == (before_hold && granted),
+               it);
+    // Granted after the end: nothing else would settle it.
+    const bool after_end = it.from == State::kEnded && granted;
+    CHECK_STEP((it.action == Action::kReturnHold) == after_end, it);
     // Nothing leads back to where a hold is taken.
     const bool back = IsOneOf(it.to, {State::kAdmitting, State::kAwaitingHold});
-    CHECK_STEP((!back || asks), it);
+    CHECK_STEP((!back || before_hold), it);
   }
 }
 
 BOOST_AUTO_TEST_CASE(NothingIsSentBeforeItsHold) {
   for (const Step& it : StepsFrom(State::kAwaitingHold)) {
     const bool waits = it.ignored() || it.to == State::kEnded;
-    CHECK_STEP((waits || it.event == Happening::kHoldGranted), it);
+    CHECK_STEP((waits || it.event == ChartEvent::kHoldGranted), it);
   }
 }
 
@@ -166,12 +169,12 @@
   for (const Step& it : AllSteps()) {
     if (it.from == State::kEnded) continue;
     const bool given_up = IsOneOf(
-        it.event, {Happening::kGiveUpNotRun, Happening::kGiveUpMayHaveRun});
+        it.event, {ChartEvent::kGiveUpNotRun, ChartEvent::kGiveUpMayHaveRun});
     if (given_up) CHECK_STEP(it.to == State::kEnded, it);
-    const bool gone = IsOneOf(it.event, {Happening::kCallerGoneNotRun,
-                                         Happening::kCallerGoneMayHaveRun});
+    const bool gone = IsOneOf(it.event, {ChartEvent::kCallerGoneNotRun,
+                                         ChartEvent::kCallerGoneMayHaveRun});
     if (!gone) continue;
-    // It can't leave twice.
+    // A caller can't leave twice.
     CHECK_STEP((it.to == State::kEnded) != (it.from == State::kCallerLeft), it);
   }
 }
@@ -184,8 +187,8 @@
   }
 }
 
-// Once events have been passed on, the answer is that stream or its visible
-// break.
+// Once events have been forwarded, the answer is that stream, complete or
+// visibly cut short.
 BOOST_AUTO_TEST_CASE(AStreamThatHasBegunIsNeverAnsweredWithAnError) {
   for (const State from :
        {State::kStreaming, State::kChoosingToResume, State::kResuming}) {
@@ -200,48 +203,48 @@
   }
 }
 
-using Way = std::vector<std::pair<Happening, Action>>;
+using Path = std::vector<std::pair<ChartEvent, Action>>;
 
-void Follow(const Way& way) {
-  ChartMachine<State, Happening, Action> machine(TheChart());
-  for (const auto& [event, action] : way) {
+void Follow(const Path& path) {
+  ChartMachine<State, ChartEvent, Action> machine(TheChart());
+  for (const auto& [event, action] : path) {
     BOOST_TEST(NameOf(machine.Apply(event)) == NameOf(action), NameOf(event));
   }
   BOOST_TEST(machine.done());
 }
 
 BOOST_AUTO_TEST_CASE(AStreamGoesOnAtAnotherTarget) {
-  Follow({{Happening::kHoldDelayed, Action::kNone},
-          {Happening::kHoldGranted, Action::kTakeHold},
-          {Happening::kTargetChosen, Action::kSend},
-          {Happening::kRetryNotRun, Action::kChoose},
-          {Happening::kTargetChosen, Action::kSend},
-          {Happening::kFirstEvent, Action::kBeginStream},
-          {Happening::kRetryMayHaveRun, Action::kChoose},
-          {Happening::kTargetChosen, Action::kSend},
-          {Happening::kFirstEvent, Action::kNone},
-          {Happening::kAnswerComplete, Action::kEndStream}});
+  Follow({{ChartEvent::kHoldDelayed, Action::kNone},
+          {ChartEvent::kHoldGranted, Action::kTakeHold},
+          {ChartEvent::kTargetChosen, Action::kSend},
+          {ChartEvent::kRetryNotRun, Action::kChoose},
+          {ChartEvent::kTargetChosen, Action::kSend},
+          {ChartEvent::kFirstEvent, Action::kBeginStream},
+          {ChartEvent::kRetryMayHaveRun, Action::kChoose},
+          {ChartEvent::kTargetChosen, Action::kSend},
+          {ChartEvent::kFirstEvent, Action::kNone},
+          {ChartEvent::kAnswerComplete, Action::kEndStream}});
 }
 
 BOOST_AUTO_TEST_CASE(ATargetThatTurnsItAwayDoesntUndoTheOneBefore) {
-  Follow({{Happening::kHoldUnneeded, Action::kChoose},
-          {Happening::kTargetChosen, Action::kSend},
-          {Happening::kRetryMayHaveRun, Action::kChoose},
-          {Happening::kTargetChosen, Action::kSend},
-          {Happening::kGiveUpNotRun, Action::kFail}});
+  Follow({{ChartEvent::kHoldUnneeded, Action::kChoose},
+          {ChartEvent::kTargetChosen, Action::kSend},
+          {ChartEvent::kRetryMayHaveRun, Action::kChoose},
+          {ChartEvent::kTargetChosen, Action::kSend},
+          {ChartEvent::kGiveUpNotRun, Action::kFail}});
 }
 
 BOOST_AUTO_TEST_CASE(AHoldThatIsGrantedTooLateIsReturned) {
-  Follow({{Happening::kHoldDelayed, Action::kNone},
-          {Happening::kGiveUpNotRun, Action::kRefuse},
-          {Happening::kHoldGranted, Action::kReturnHold}});
+  Follow({{ChartEvent::kHoldDelayed, Action::kNone},
+          {ChartEvent::kGiveUpNotRun, Action::kRefuse},
+          {ChartEvent::kHoldGranted, Action::kReturnHold}});
 }
 
 BOOST_AUTO_TEST_CASE(ACallWhoseCallerHasLeftRunsToItsEnd) {
-  Follow({{Happening::kHoldUnneeded, Action::kChoose},
-          {Happening::kTargetChosen, Action::kSend},
-          {Happening::kCallerGoneCallRunsOn, Action::kNone},
-          {Happening::kAnswerComplete, Action::kAbandon}});
+  Follow({{ChartEvent::kHoldUnneeded, Action::kChoose},
+          {ChartEvent::kTargetChosen, Action::kSend},
+          {ChartEvent::kCallerGoneCallRunsOn, Action::kNone},
+          {ChartEvent::kAnswerComplete, Action::kAbandon}});
 }
 
 }  // namespace
--- a/relay/testing/request_cost_test.cc
+++ b/relay/testing/request_cost_test.cc
@@ -1,4 +1,5 @@
-// What a request costs.
+// Tests the cost of a request, with and without a possible run, up to its worst
+// case.
 
 #include "relay/request_cost.h"
 
--- a/relay/testing/retry_test.cc
+++ b/relay/testing/retry_test.cc
@@ -1,4 +1,5 @@
-// Whether a request is sent to another target.
+// Tests when a request may be sent to another target, and that retries stay
+// within each service's share.
 
 #include "relay/retry.h"
 
@@ -12,7 +13,7 @@
 const ServiceName kService{"desk"};
 const Instant kNow{std::chrono::seconds(100)};
 
-// One that has failed once and may be repeated.
+// An attempt that has failed, of a request that may be repeated.
 RetryFacts Facts(Ran ran) {
   RetryFacts out;
   out.ran = ran;
@@ -28,7 +29,7 @@
   BOOST_TEST(MaySendAgain(facts));
   facts.repeatable = false;
   BOOST_TEST(!MaySendAgain(facts));
-  // However many targets the route allows.
+  // Also if the route allows more targets.
   facts.max_attempts = 9;
   BOOST_TEST(!MaySendAgain(facts));
 }
@@ -80,7 +81,7 @@
     for (int n = 0; n < 10; ++n) shares.OnRequest(kNow, kService);
   }
 
-  // Of ten requests, two may be sent again.
+  // Allows two retries for ten requests.
   static RetryShareOptions Options() {
     RetryShareOptions out;
     out.ratio = 0.2;
@@ -119,9 +120,9 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(ARetryThatCantBeSentIsNotCounted, Fixture) {
-  RetryFacts late = Facts(Ran::kNo);
-  late.left = {};
-  for (int n = 0; n < 5; ++n) BOOST_TEST(!Take(late));
+  RetryFacts expired = Facts(Ran::kNo);
+  expired.left = {};
+  for (int n = 0; n < 5; ++n) BOOST_TEST(!Take(expired));
   SetTargets({"a"}, kService);
   for (int n = 0; n < 5; ++n) BOOST_TEST(!Take(Facts(Ran::kNo)));
   SetTargets({"a", "b"}, kService);
@@ -141,7 +142,7 @@
   BOOST_TEST(Take(Facts(Ran::kNo)));
 }
 
-// What a service allows beyond its ratio is for all routers together.
+// The slack of a service is split among all routers.
 BOOST_AUTO_TEST_CASE(TheSlackIsSharedAmongTheRouters) {
   Fixture fixture;
   RetryShareOptions options = Fixture::Options();
