--- a/relay/hold_queue.cc
+++ b/relay/hold_queue.cc
@@ -14,18 +14,18 @@
     const PrepaidVerdict out =
         ledger_.Hold(now, customer, waiter->worst_case());
     if (out != PrepaidVerdict::kShort) return out;
-  } else if (CanNeverBeHeld(now, *waiter)) {
+  } else if (ExceedsBudget(now, *waiter)) {
     return PrepaidVerdict::kExhausted;
   }
   list.push_back({waiter, now, 0});
-  TellLedger(customer, list);
+  UpdateLedger(customer, list);
   return PrepaidVerdict::kShort;
 }
 
 void HoldQueue::Remove(const HoldWaiterPtr& waiter) {
   WaitingList& list = waiting_[waiter->customer()];
   std::erase_if(list, [&](const Waiting& it) { return it.waiter == waiter; });
-  TellLedger(waiter->customer(), list);
+  UpdateLedger(waiter->customer(), list);
 }
 
 bool HoldQueue::HasWaiters(const CustomerName& customer) const {
@@ -41,18 +41,18 @@
                           WaitingList& list) {
   while (!list.empty()) {
     const HoldWaiterPtr waiter = list.front().waiter;
-    const PrepaidVerdict verdict =
+    const PrepaidVerdict result =
         ledger_.Hold(now, customer, waiter->worst_case());
-    if (verdict == PrepaidVerdict::kShort) break;
+    if (result == PrepaidVerdict::kShort) break;
     list.pop_front();
-    TellLedger(customer, list);
-    on_.answer(waiter, verdict);
+    UpdateLedger(customer, list);
+    on_.answer(waiter, result);
   }
   RefuseExhausted(now, customer, list);
 }
 
 // A budget that can hold an amount can hold every smaller one, so the ledger is
-// asked only about amounts larger than all before them: for n that wait, in any
+// queried only for amounts larger than all before them: for n waiters in random
 // order, about ln n times.
 void HoldQueue::RefuseExhausted(Instant now, const CustomerName& customer,
                                 WaitingList& list) {
@@ -60,16 +60,17 @@
   const auto n = std::erase_if(list, [&](const Waiting& it) {
     const Tokens amount = it.waiter->worst_case();
     if (amount <= fits) return false;
-    const bool never = CanNeverBeHeld(now, *it.waiter);
-    if (never) on_.answer(it.waiter, PrepaidVerdict::kExhausted);
-    if (!never) fits = amount;
-    return never;
+    const bool exceeds = ExceedsBudget(now, *it.waiter);
+    if (exceeds) on_.answer(it.waiter, PrepaidVerdict::kExhausted);
+    if (!exceeds) fits = amount;
+    return exceeds;
   });
-  if (n > 0) TellLedger(customer, list);
+  if (n > 0) UpdateLedger(customer, list);
 }
 
-// Asks without holding: the ledger holds nothing beyond its allowance.
-bool HoldQueue::CanNeverBeHeld(Instant now, const HoldWaiter& waiter) {
+// Holds nothing: `Hold` is called only with an amount beyond the allowance,
+// which the ledger refuses.
+bool HoldQueue::ExceedsBudget(Instant now, const HoldWaiter& waiter) {
   const CustomerName& customer = waiter.customer();
   const Tokens amount = waiter.worst_case();
   if (ledger_.Allowance(now, customer) >= amount) return false;
@@ -90,34 +91,36 @@
 
 void HoldQueue::RefuseExpired(Instant now, const CustomerName& customer,
                               WaitingList& list, bool store_reachable) {
-  while (!list.empty() && IsOver(now, list.front())) {
+  while (!list.empty() && HasExpired(now, list.front())) {
     const HoldWaiterPtr waiter = list.front().waiter;
     list.pop_front();
-    TellLedger(customer, list);
+    UpdateLedger(customer, list);
     LogRefused(now, *waiter, store_reachable);
     on_.answer(waiter, PrepaidVerdict::kShort);
-    // What was too small for this one may hold those behind it.
+    // The grant that was too small for this request may suffice for the next
+    // ones.
     ServeList(now, customer, list);
   }
 }
 
-// A router that was replaced or has left gets no tokens from anybody.
-bool HoldQueue::IsOver(Instant now, const Waiting& it) const {
-  const bool in_vain = ledger_.Fenced() || ledger_.HasLeft();
-  return in_vain || now - it.since >= kPatience.give_up_after;
+// A router that was replaced or has left the budgets gets no tokens from the
+// store or from peers.
+bool HoldQueue::HasExpired(Instant now, const Waiting& it) const {
+  const bool no_tokens = ledger_.Fenced() || ledger_.HasLeft();
+  return no_tokens || now - it.since >= kTimeouts.give_up_after;
 }
 
-// Peers are asked for all that wait, when the first of them has waited long
-// enough.
+// Peers are asked for the sum of all waiting requests, once the first of them
+// has waited long enough.
 void HoldQueue::AskPeersIfDue(Instant now, const CustomerName& customer,
                               WaitingList& list, bool store_reachable) {
   Waiting& first = list.front();
   const Duration waited = now - first.since;
-  const bool some = first.asks == 0 &&
-                    (waited >= kPatience.ask_some_after || !store_reachable);
-  const bool all = first.asks == 1 && waited >= kPatience.ask_all_after;
-  if (!some && !all) return;
-  ++first.asks;
+  const bool half = first.times_asked == 0 &&
+                    (waited >= kTimeouts.ask_half_after || !store_reachable);
+  const bool all = first.times_asked == 1 && waited >= kTimeouts.ask_all_after;
+  if (!half && !all) return;
+  ++first.times_asked;
   on_.ask_peers(customer, SumOf(list), all);
 }
 
@@ -127,8 +130,8 @@
       [](Tokens n, const Waiting& it) { return n + it.waiter->worst_case(); });
 }
 
-void HoldQueue::TellLedger(const CustomerName& customer,
-                           const WaitingList& list) {
+void HoldQueue::UpdateLedger(const CustomerName& customer,
+                             const WaitingList& list) {
   ledger_.SetWaiting(customer, SumOf(list));
 }
 
--- a/relay/hold_waiter.h
+++ b/relay/hold_waiter.h
@@ -1,9 +1,11 @@
-// HoldWaiter: who waits for a hold, that is, for tokens of a customer's budget
-// to be set aside. It is a request of this router (relay/relayed_request.h), or
-// one of a peer for which this router keeps a grant (relay/served_holds.h).
+// HoldWaiter is the interface of a request that waits for a hold, that is, for
+// tokens of its customer's budget to be set aside. It is either a request of
+// this router (relay/relayed_request.h), or one of a peer for which this router
+// keeps a grant (relay/served_holds.h).
 //
-// Either answer comes once, after `Hold` has said that the request waits
-// (relay/budget_driver.h), and from a callback of the loop of its own.
+// Exactly one of OnHeld and OnHoldRefused is called, once, after `Hold` has
+// returned that the request waits (relay/budget_driver.h). The call comes from
+// a separate callback of the loop.
 
 #ifndef QUAYTRACK_RELAY_HOLD_WAITER_H_
 #define QUAYTRACK_RELAY_HOLD_WAITER_H_
@@ -19,10 +21,11 @@
   virtual ~HoldWaiter() = default;
   virtual const RequestId& id() const = 0;
   virtual const CustomerName& customer() const = 0;
-  // The most tokens that it may cost.
+  // Upper bound of its cost.
   virtual Tokens worst_case() const = 0;
   virtual void OnHeld() = 0;
-  // `exhausted`: the budget can't hold it; else only what is in reach can't.
+  // `exhausted`: the budget can't hold it. Otherwise only the tokens that this
+  // router can reach don't suffice.
   virtual void OnHoldRefused(bool exhausted) = 0;
 };
 
--- a/relay/remote_holds.cc
+++ b/relay/remote_holds.cc
@@ -20,38 +20,39 @@
 
 }  // namespace
 
-// --- Asks --------------------------------------------------------------------
+// --- Requesting holds --------------------------------------------------------
 
 void RemoteHolds::AskFor(Instant now, Request request) {
   const RequestId id = request.id;
-  PendingAsk& ask = pending_[id];
-  ask.request = std::move(request);
-  ask.begun = now;
-  AskNextHolder(now, ask);
+  PendingHold& hold = pending_[id];
+  hold.request = std::move(request);
+  hold.started_at = now;
+  AskNextHolder(now, hold);
 }
 
 // Without a further holder, the request is refused at the next `CheckTimes`.
-void RemoteHolds::AskNextHolder(Instant now, PendingAsk& ask) {
-  ask.holder = {};
-  ask.asked_at = now;
-  const bool late = now - ask.begun >= options_.patience.ask_holders_until;
-  while (!late && ask.next < ask.request.holders.size()) {
-    ask.holder = on_.linked(ask.request.holders[ask.next++]);
-    if (!ask.holder.empty()) break;
+void RemoteHolds::AskNextHolder(Instant now, PendingHold& hold) {
+  hold.holder = {};
+  hold.asked_at = now;
+  const bool past_deadline =
+      now - hold.started_at >= options_.timeouts.ask_holders_until;
+  while (!past_deadline && hold.next < hold.request.holders.size()) {
+    hold.holder = on_.linked(hold.request.holders[hold.next++]);
+    if (!hold.holder.empty()) break;
   }
-  if (ask.holder.empty()) return;
+  if (hold.holder.empty()) return;
   PeerMessage out;
   out.kind = PeerMessageKind::kHoldWanted;
-  out.request = ask.request.id;
-  out.customer = ask.request.customer;
-  out.amount = ask.request.amount;
-  on_.tell(ask.holder, out);
+  out.request = hold.request.id;
+  out.customer = hold.request.customer;
+  out.amount = hold.request.amount;
+  on_.tell(hold.holder, out);
 }
 
-// The holder may have granted the hold, or may still.
-void RemoteHolds::ReleaseAtHolder(Instant now, const PendingAsk& ask) {
-  if (ask.holder.empty()) return;
-  SendCost(now, {ask.request.id, ask.holder}, 0);
+// The holder may have granted the hold, or may still do so.
+void RemoteHolds::ReleaseAtHolder(Instant now, const PendingHold& hold) {
+  if (hold.holder.empty()) return;
+  SendCost(now, {hold.request.id, hold.holder}, 0);
 }
 
 void RemoteHolds::Finish(PendingMap::iterator it, PrepaidVerdict verdict) {
@@ -69,7 +70,8 @@
 
 void RemoteHolds::OnAnswer(Instant now, const PeerMessage& message) {
   const auto it = pending_.find(message.request);
-  // An answer of one that is no longer asked: it has been told so.
+  // Ignores the answer of a previous holder, which was already sent a cost of
+  // zero.
   if (it == pending_.end() || it->second.holder != message.from) return;
   if (message.answer == HoldAnswer::kElsewhere) {
     return AskNextHolder(now, it->second);
@@ -81,26 +83,26 @@
 }
 
 void RemoteHolds::OnPeerLost(Instant now, const Incarnation& holder) {
-  for (auto& [id, ask] : pending_) {
-    if (ask.holder != holder) continue;
-    ReleaseAtHolder(now, ask);
-    AskNextHolder(now, ask);
+  for (auto& [id, hold] : pending_) {
+    if (hold.holder != holder) continue;
+    ReleaseAtHolder(now, hold);
+    AskNextHolder(now, hold);
   }
 }
 
 void RemoteHolds::CheckTimes(Instant now) {
-  const HoldPatience& patience = options_.patience;
+  const HoldPatience& timeouts = options_.timeouts;
   for (auto it = pending_.begin(); it != pending_.end();) {
-    PendingAsk& ask = it->second;
+    PendingHold& hold = it->second;
     const auto at = it++;
-    const bool unanswered = now - ask.asked_at >= patience.holder_answer;
-    if (unanswered && !ask.holder.empty()) {
+    const bool unanswered = now - hold.asked_at >= timeouts.holder_timeout;
+    if (unanswered && !hold.holder.empty()) {
       LogEvent(Event::kHoldUnanswered,
-               {{"request", at->first.value}, {"holder", ask.holder.value}});
-      ReleaseAtHolder(now, ask);
-      AskNextHolder(now, ask);
+               {{"request", at->first.value}, {"holder", hold.holder.value}});
+      ReleaseAtHolder(now, hold);
+      AskNextHolder(now, hold);
     }
-    if (ask.holder.empty()) Finish(at, PrepaidVerdict::kShort);
+    if (hold.holder.empty()) Finish(at, PrepaidVerdict::kShort);
   }
   ResendCosts(now);
 }
@@ -118,12 +120,12 @@
 void RemoteHolds::SendCost(Instant now, const HoldKey& key, Tokens cost) {
   UnacknowledgedCost& it = unacknowledged_[key];
   it.cost = cost;
-  it.begun = now;
-  SendAgain(now, key, it);
+  it.started_at = now;
+  ResendCost(now, key, it);
 }
 
-void RemoteHolds::SendAgain(Instant now, const HoldKey& key,
-                            UnacknowledgedCost& it) {
+void RemoteHolds::ResendCost(Instant now, const HoldKey& key,
+                             UnacknowledgedCost& it) {
   it.sent_at = now;
   PeerMessage out;
   out.kind = PeerMessageKind::kSettle;
@@ -139,20 +141,20 @@
 void RemoteHolds::ResendCosts(Instant now) {
   for (auto it = unacknowledged_.begin(); it != unacknowledged_.end();) {
     const auto at = it++;
-    if (IsPointless(now, at->first, at->second)) {
+    if (IsObsolete(now, at->first, at->second)) {
       unacknowledged_.erase(at);
     } else if (now - at->second.sent_at >= options_.resend_every) {
-      SendAgain(now, at->first, at->second);
+      ResendCost(now, at->first, at->second);
     }
   }
 }
 
 // A later incarnation proves that the holder has died.
-bool RemoteHolds::IsPointless(Instant now, const HoldKey& key,
-                              const UnacknowledgedCost& it) const {
+bool RemoteHolds::IsObsolete(Instant now, const HoldKey& key,
+                             const UnacknowledgedCost& it) const {
   const Incarnation linked = on_.linked(VmOf(key.holder));
   const bool dead = !linked.empty() && linked != key.holder;
-  return dead || now - it.begun >= options_.give_up_after;
+  return dead || now - it.started_at >= options_.give_up_after;
 }
 
 }  // namespace quaytrack
--- a/relay/remote_holds.h
+++ b/relay/remote_holds.h
@@ -1,24 +1,24 @@
-// RemoteHolds: what this router holds of budgets whose grants other routers,
-// the holders, keep (fleet/fleet.h).
+// RemoteHolds manages this router's holds on budgets whose grants are kept by
+// other routers, the holders (fleet/fleet.h).
 //
 //   holds.AskFor(now, {id, customer, amount, holders, done});
 //   ...                            // done(verdict), when a holder has answered
-//   holds.Settle(now, id, cost);   // what was handed out, 0 if nothing ran
+//   holds.Settle(now, id, cost);   // the tokens to charge, 0 if nothing ran
 //   holds.CheckTimes(now);         // every few milliseconds until `Idle`
 //
-// The holder counts an amount as held until it is told the cost, so nothing is
-// spent beyond its grant whatever is lost on the way:
-//   - an answer that doesn't come: the next holder is asked, and the first is
-//     told that the hold cost nothing, as the request has not been sent yet;
-//   - a cost that isn't acknowledged is sent again while the same incarnation
-//     of the holder lives; after its death the hold is part of what was charged
-//     for it (prepaid/prepaid_record.h, Dead members);
-//   - this router's death: the holder charges the whole amount when a later
-//     incarnation of this VM says hello (relay/served_holds.h).
+// The holder counts an amount as held until it receives the cost, so no more
+// than its grant is spent, whichever messages are lost:
+//   - An answer that is lost: the next holder is asked, and the first one
+//     receives a cost of zero, as the request has not been sent yet.
+//   - A cost that isn't acknowledged is sent again while the same incarnation
+//     of the holder lives. After its death the hold is part of what was charged
+//     for it (prepaid/prepaid_record.h, Dead members).
+//   - This router's death: the holder charges the full amount when a later
+//     incarnation of this VM sends its hello (relay/served_holds.h).
 //
-// Owns the asks under way, the holds granted and the costs not acknowledged.
-// Relies on the links to peers only for delivery: any message may be lost.
-// How long a holder may take stands in relay/hold_patience.h. Units: tokens.
+// Owns the pending holds, the granted holds and the unacknowledged costs. Links
+// to peers may lose any message. A holder's timeout is defined in
+// relay/hold_patience.h. Units: tokens.
 
 #ifndef QUAYTRACK_RELAY_REMOTE_HOLDS_H_
 #define QUAYTRACK_RELAY_REMOTE_HOLDS_H_
@@ -41,16 +41,15 @@
 class RemoteHolds {
  public:
   struct Options {
-    HoldPatience patience;
-    // A cost that isn't acknowledged is sent again this often. Of commit
-    // e7705ae; not measured.
+    HoldPatience timeouts;
+    // Interval at which an unacknowledged cost is sent again.
     Duration resend_every = std::chrono::milliseconds(1000);
-    // After this it is given up; its hold stays charged at the holder. Of
-    // commit e7705ae; not measured.
+    // After this the cost is no longer sent; its hold stays charged at the
+    // holder.
     Duration give_up_after = std::chrono::seconds(60);
   };
   struct Handlers {
-    // The incarnation that is linked on a VM; empty if none is.
+    // The linked incarnation on a VM; empty if none is linked.
     std::function<Incarnation(const VmName&)> linked;
     std::function<void(const Incarnation&, const PeerMessage&)> tell;
   };
@@ -58,7 +57,7 @@
     RequestId id;
     CustomerName customer;
     Tokens amount = 0;
-    // In the order in which they are asked.
+    // Asked in this order.
     std::vector<VmName> holders;
     // Never called from within `AskFor`.
     std::function<void(PrepaidVerdict)> done;
@@ -68,30 +67,30 @@
       : options_(options), on_(std::move(handlers)) {}
 
   void AskFor(Instant now, Request request);
-  // The request is no longer wanted; `done` isn't called.
+  // Abandons the pending hold without calling `done`.
   void Forget(Instant now, const RequestId& id);
-  // Whether a holder holds something for the request.
+  // Whether a holder has granted a hold for the request.
   bool Holds(const RequestId& id) const { return held_.contains(id); }
   void Settle(Instant now, const RequestId& id, Tokens cost);
 
   void OnAnswer(Instant now, const PeerMessage& message);
   void OnAcknowledged(const PeerMessage& message);
   void OnPeerLost(Instant now, const Incarnation& holder);
-  // Passes over holders that don't answer, ends asks for which no holder is
-  // left, and sends costs again.
+  // Skips holders that don't answer, ends pending holds without a further
+  // holder, and sends unacknowledged costs again.
   void CheckTimes(Instant now);
-  // Nothing waits for time to pass.
+  // Returns true if `CheckTimes` has nothing to do.
   bool Idle() const { return pending_.empty() && unacknowledged_.empty(); }
 
  private:
-  // An ask without an answer.
-  struct PendingAsk {
+  // A hold that was requested and is not answered yet.
+  struct PendingHold {
     Request request;
-    // Place in `request.holders` of the one to be asked next.
+    // Index in `request.holders` of the holder to ask next.
     std::size_t next = 0;
-    // The holder that was asked last; empty before the first.
+    // The holder that was asked last; empty if there is none.
     Incarnation holder;
-    Instant begun{};
+    Instant started_at{};
     Instant asked_at{};
   };
   // A hold at one holder.
@@ -102,24 +101,24 @@
   };
   struct UnacknowledgedCost {
     Tokens cost = 0;
-    Instant begun{};
+    Instant started_at{};
     Instant sent_at{};
   };
-  using PendingMap = std::map<RequestId, PendingAsk>;
+  using PendingMap = std::map<RequestId, PendingHold>;
 
-  void AskNextHolder(Instant now, PendingAsk& ask);
-  void ReleaseAtHolder(Instant now, const PendingAsk& ask);
+  void AskNextHolder(Instant now, PendingHold& hold);
+  void ReleaseAtHolder(Instant now, const PendingHold& hold);
   void Finish(PendingMap::iterator it, PrepaidVerdict verdict);
   void SendCost(Instant now, const HoldKey& key, Tokens cost);
-  void SendAgain(Instant now, const HoldKey& key, UnacknowledgedCost& it);
+  void ResendCost(Instant now, const HoldKey& key, UnacknowledgedCost& it);
   void ResendCosts(Instant now);
-  bool IsPointless(Instant now, const HoldKey& key,
-                   const UnacknowledgedCost& it) const;
+  bool IsObsolete(Instant now, const HoldKey& key,
+                  const UnacknowledgedCost& it) const;
 
   Options options_;
   Handlers on_;
   PendingMap pending_;
-  // Holds that were granted, and who keeps them.
+  // The holder of each granted hold.
   std::map<RequestId, Incarnation> held_;
   std::map<HoldKey, UnacknowledgedCost> unacknowledged_;
 };
--- a/relay/served_holds.cc
+++ b/relay/served_holds.cc
@@ -5,14 +5,14 @@
 namespace quaytrack {
 namespace {
 
-// Settled holds that are remembered, so that an ask that was overtaken by its
-// own end holds nothing. Of commit e7705ae; not measured.
-constexpr std::size_t kMostSettledRemembered = 4096;
+// Settled holds that are remembered, so that a hold request that was overtaken
+// by its own settlement holds nothing.
+constexpr std::size_t kMaxSettledRemembered = 4096;
 
 }  // namespace
 
 void ServedHolds::PeerHold::OnHeld() {
-  // Granted while the ask ended.
+  // Granted after the hold was settled or abandoned.
   if (ended) return owner_.on_.settle(customer_, amount_, 0);
   held = true;
   owner_.Answer(key_, HoldAnswer::kHeld);
@@ -37,8 +37,9 @@
   const Key key{message.from, message.request};
   if (stopped_) return Answer(key, HoldAnswer::kElsewhere);
   if (settled_.contains(key) || holds_.contains(key)) return;
-  // What isn't limited here would be held without being counted. The asker's
-  // configuration is older or newer, and another holder may have the same.
+  // A customer without a budget here would be served without being counted. The
+  // asker's configuration is older or newer than this router's, and another
+  // holder may have the same one.
   if (!on_.knows_budget(message.customer)) {
     return Answer(key, HoldAnswer::kElsewhere);
   }
@@ -96,7 +97,7 @@
 void ServedHolds::RememberSettled(const Key& key) {
   if (!settled_.insert(key).second) return;
   settled_order_.push_back(key);
-  if (settled_order_.size() <= kMostSettledRemembered) return;
+  if (settled_order_.size() <= kMaxSettledRemembered) return;
   settled_.erase(settled_order_.front());
   settled_order_.pop_front();
 }
--- a/relay/served_holds.h
+++ b/relay/served_holds.h
@@ -1,17 +1,17 @@
-// ServedHolds: what this router, as a holder of grants, holds for peers that
-// keep none. The other half of relay/remote_holds.h.
+// ServedHolds manages the holds that this router, as a holder of grants, keeps
+// for peers without a grant. It is the counterpart of relay/remote_holds.h.
 //
 //   holds.OnHoldWanted(message);   // answered when the grant holds it, or not
-//   holds.OnSettle(message);       // acknowledged, each time that it comes
-//   holds.OnHello(peer);           // an earlier run on that VM is dead
+//   holds.OnSettle(message);       // acknowledged, each time that it arrives
+//   holds.OnHello(peer);           // an earlier process on that VM is dead
 //
-// A hold is kept until its cost is told or until a later incarnation of the
-// asker's VM proves that the asker has died; then all of it counts as spent,
-// since nobody knows how much was. Time alone ends no hold: an asker that was
-// frozen may go on spending.
+// A hold is kept until its cost arrives, or until a later incarnation of the
+// asker's VM proves that the asker has died. In that case the full amount
+// counts as spent, since the actual cost is unknown. Time alone ends no hold:
+// an asker that was frozen may continue to spend.
 //
-// Messages may be lost, doubled and late. An ask that comes again changes
-// nothing, and one that comes after its own end holds nothing.
+// Messages may be lost, duplicated and delayed. A repeated hold request changes
+// nothing, and one that arrives after its own settlement holds nothing.
 //
 // Owns the holds of peers. Relies on the handlers for the grant itself: a
 // peer's hold waits in the same queue as this router's requests
@@ -37,9 +37,10 @@
 class ServedHolds {
  public:
   struct Handlers {
-    // Whether the configuration here has a budget for the customer.
+    // Whether this router's configuration has a budget for the customer.
     std::function<bool(const CustomerName&)> knows_budget;
-    // This router's own grants; `hold` is answered by the waiter's callbacks.
+    // These act on this router's grants. `hold` is answered through the
+    // waiter's callbacks.
     std::function<void(const HoldWaiterPtr&)> hold;
     std::function<void(const HoldWaiterPtr&)> forget;
     std::function<void(const CustomerName&, Tokens held, Tokens cost)> settle;
@@ -50,9 +51,9 @@
 
   void OnHoldWanted(const PeerMessage& message);
   void OnSettle(const PeerMessage& message);
-  // A router said hello: earlier ones on its VM are dead.
+  // A router sent its hello: earlier ones on its VM are dead.
   void OnHello(const Incarnation& peer);
-  // Asks that wait and new ones are sent on to other holders.
+  // Refers waiting and new hold requests to other holders.
   void Stop();
   std::size_t size() const { return holds_.size(); }
 
@@ -89,8 +90,8 @@
 
   Handlers on_;
   std::map<Key, PeerHoldPtr> holds_;
-  // Settled of late, against asks that arrive after that; in the order in which
-  // they are forgotten.
+  // Recently settled holds, so that a hold request that arrives after its
+  // settlement is ignored; `settled_order_` is the order of eviction.
   std::set<Key> settled_;
   std::deque<Key> settled_order_;
   bool stopped_ = false;
--- a/relay/testing/holds_test.cc
+++ b/relay/testing/holds_test.cc
@@ -1,5 +1,5 @@
-// Holds at other routers: the two sides of the protocol, with a network between
-// them that loses, and a ledger that only adds up.
+// Tests RemoteHolds against ServedHolds: both sides of the protocol, over a
+// network that loses messages and with a ledger that only sums up.
 
 #include <rapidcheck.h>
 
@@ -20,7 +20,7 @@
 const Incarnation kAsker{"asker@1"};
 const VmName kHolders[] = {VmName("h1"), VmName("h2")};
 
-// One holder: its served holds, and what its ledger says.
+// One holder: its served holds and the totals of its ledger.
 struct Holder {
   explicit Holder(Incarnation name) : self(std::move(name)) {
     ServedHolds::Handlers on;
@@ -49,7 +49,7 @@
   }
 
   Incarnation self;
-  // Leaves asks waiting.
+  // Leaves hold requests unanswered.
   bool silent = false;
   std::vector<HoldWaiterPtr> waiting;
   Tokens held = 0;
@@ -96,8 +96,8 @@
     remote->AskFor(now, out);
   }
 
-  // Answers reach the asker.
-  void Answers() {
+  // Delivers the holders' answers to the asker.
+  void DeliverAnswers() {
     for (Holder& holder : holders) {
       while (!holder.sent.empty()) {
         const PeerMessage it = holder.sent.front();
@@ -108,10 +108,10 @@
     }
   }
 
-  void Pass(Duration time) {
+  void Advance(Duration time) {
     now += time;
     remote->CheckTimes(now);
-    Answers();
+    DeliverAnswers();
   }
 
   bool Got(PrepaidVerdict verdict) const {
@@ -129,7 +129,7 @@
 
 BOOST_FIXTURE_TEST_CASE(AHoldIsSettledAtItsCost, Fixture) {
   Ask("r", 100);
-  Answers();
+  DeliverAnswers();
   BOOST_TEST(Got(PrepaidVerdict::kHeld));
   BOOST_TEST(holders[0].held == 100);
   remote->Settle(now, RequestId("r"), 30);
@@ -139,11 +139,11 @@
 
 BOOST_FIXTURE_TEST_CASE(ALostCostIsToldAgain, Fixture) {
   Ask("r", 100);
-  Answers();
+  DeliverAnswers();
   lose_next = 1;
   remote->Settle(now, RequestId("r"), 30);
   BOOST_TEST(holders[0].held == 100);
-  Pass(milliseconds(1100));
+  Advance(milliseconds(1100));
   BOOST_TEST(holders[0].held == 0);
   BOOST_TEST(holders[0].spent == 30);
   BOOST_TEST(remote->Idle());
@@ -152,25 +152,25 @@
 BOOST_FIXTURE_TEST_CASE(ASilentHolderIsPassedOver, Fixture) {
   holders[0].silent = true;
   Ask("r", 100);
-  Answers();
-  Pass(milliseconds(210));
+  DeliverAnswers();
+  Advance(milliseconds(210));
   BOOST_TEST(Got(PrepaidVerdict::kHeld));
   BOOST_TEST(holders[1].held == 100);
-  // It was told that nothing is needed any more.
+  // It received a cost of zero.
   BOOST_TEST(holders[0].served->size() == 0U);
 }
 
-// It may let the ask wait as long as the first one may.
+// The second holder may let the hold wait as long as the first one.
 BOOST_FIXTURE_TEST_CASE(ASecondHolderHasItsWholeTime, Fixture) {
   holders[0].silent = true;
   holders[1].silent = true;
   Ask("r", 100);
-  Pass(milliseconds(200));
+  Advance(milliseconds(200));
   BOOST_REQUIRE(holders[1].waiting.size() == 1U);
-  Pass(HoldPatience().give_up_after);
+  Advance(HoldPatience().give_up_after);
   BOOST_TEST(verdicts.empty());
   holders[1].HoldWaiting();
-  Answers();
+  DeliverAnswers();
   BOOST_TEST(Got(PrepaidVerdict::kHeld));
 }
 
@@ -178,21 +178,21 @@
   holders[0].silent = true;
   holders[1].silent = true;
   Ask("r", 100);
-  Pass(milliseconds(200));
-  Pass(milliseconds(199));
+  Advance(milliseconds(200));
+  Advance(milliseconds(199));
   BOOST_TEST(verdicts.empty());
-  Pass(milliseconds(1));
+  Advance(milliseconds(1));
   BOOST_TEST(Got(PrepaidVerdict::kShort));
   BOOST_TEST(holders[0].served->size() == 0U);
   BOOST_TEST(holders[1].served->size() == 0U);
 }
 
-// Neither waits for the time of a holder that can't answer any more.
+// A hold doesn't wait for the timeout of a holder whose link is lost.
 BOOST_FIXTURE_TEST_CASE(ALostHolderIsPassedOverAtOnce, Fixture) {
   holders[0].silent = true;
   Ask("r", 100);
   remote->OnPeerLost(now, holders[0].self);
-  Answers();
+  DeliverAnswers();
   BOOST_TEST(Got(PrepaidVerdict::kHeld));
   BOOST_TEST(holders[1].held == 100);
   BOOST_TEST(holders[0].served->size() == 0U);
@@ -205,27 +205,28 @@
   remote->OnPeerLost(now, holders[0].self);
   BOOST_TEST(holders[1].waiting.size() == 1U);
   remote->OnPeerLost(now, holders[1].self);
-  Pass(milliseconds(0));
+  Advance(milliseconds(0));
   BOOST_TEST(Got(PrepaidVerdict::kShort));
 }
 
-// A holder that is asked late could not answer in time, so it isn't.
+// No further holder is asked after `ask_holders_until`, as it could not answer
+// in time.
 BOOST_FIXTURE_TEST_CASE(NoHolderIsAskedLate, Fixture) {
   holders[0].silent = true;
   Ask("r", 100);
-  Pass(milliseconds(100));
-  // The loop was held up meanwhile.
+  Advance(milliseconds(100));
+  // The loop is blocked meanwhile.
   now += milliseconds(200);
   remote->OnPeerLost(now, holders[0].self);
   BOOST_TEST(holders[1].held == 0);
-  Pass(milliseconds(0));
+  Advance(milliseconds(0));
   BOOST_TEST(Got(PrepaidVerdict::kShort));
 }
 
 BOOST_FIXTURE_TEST_CASE(AStoppingHolderSendsAskersOn, Fixture) {
   holders[0].served->Stop();
   Ask("r", 100);
-  Answers();
+  DeliverAnswers();
   BOOST_TEST(Got(PrepaidVerdict::kHeld));
   BOOST_TEST(holders[1].held == 100);
 }
@@ -233,28 +234,28 @@
 BOOST_FIXTURE_TEST_CASE(WithoutAHolderTheRequestIsRefusedSoon, Fixture) {
   linked = false;
   Ask("r", 100);
-  Pass(milliseconds(10));
+  Advance(milliseconds(10));
   BOOST_TEST(Got(PrepaidVerdict::kShort));
 }
 
 BOOST_FIXTURE_TEST_CASE(AnAskThatArrivesAfterItsEndHoldsNothing, Fixture) {
-  PeerMessage ask;
-  ask.kind = PeerMessageKind::kHoldWanted;
-  ask.from = kAsker;
-  ask.request = RequestId("r");
-  ask.customer = kCustomer;
-  ask.amount = 100;
-  PeerMessage settle = ask;
+  PeerMessage hold_request;
+  hold_request.kind = PeerMessageKind::kHoldWanted;
+  hold_request.from = kAsker;
+  hold_request.request = RequestId("r");
+  hold_request.customer = kCustomer;
+  hold_request.amount = 100;
+  PeerMessage settle = hold_request;
   settle.kind = PeerMessageKind::kSettle;
   settle.amount = 0;
   Deliver(holders[0], settle);
-  Deliver(holders[0], ask);
+  Deliver(holders[0], hold_request);
   BOOST_TEST(holders[0].held == 0);
 }
 
 BOOST_FIXTURE_TEST_CASE(ADeadAskersHoldsCountAsSpent, Fixture) {
   Ask("r", 100);
-  Answers();
+  DeliverAnswers();
   holders[0].served->OnHello(kAsker);
   BOOST_TEST(holders[0].held == 100);
   holders[0].served->OnHello(Incarnation("asker@2"));
@@ -264,13 +265,13 @@
 
 BOOST_FIXTURE_TEST_CASE(TimeAloneEndsNoHold, Fixture) {
   Ask("r", 100);
-  Answers();
-  Pass(std::chrono::hours(2));
+  DeliverAnswers();
+  Advance(std::chrono::hours(2));
   BOOST_TEST(holders[0].held == 100);
 }
 
-// Whatever is lost, a holder never counts less than what was spent of its
-// holds, and once all is told, exactly that.
+// Whichever messages are lost, a holder never counts less than what was spent
+// of its holds, and exactly that once every message has arrived.
 BOOST_AUTO_TEST_CASE(HoldersNeverCountLessThanWasSpent) {
   const bool ok = rc::check("holders never count less than was spent", [] {
     Fixture it;
@@ -295,17 +296,17 @@
       }
       if (step == 2) it.lose_next = *rc::gen::inRange(0, 3);
       if (step == 3) it.linked = !it.linked;
-      if (step == 4) it.Answers();
-      if (step == 5) it.Pass(milliseconds(*rc::gen::inRange(1, 400)));
+      if (step == 4) it.DeliverAnswers();
+      if (step == 5) it.Advance(milliseconds(*rc::gen::inRange(1, 400)));
       const Tokens counted = it.holders[0].held + it.holders[0].spent +
                              it.holders[1].held + it.holders[1].spent;
       RC_ASSERT(counted >= spent);
     }
     it.linked = true;
     it.lose_next = 0;
-    for (int n = 0; n < 5; ++n) it.Pass(milliseconds(1100));
+    for (int n = 0; n < 5; ++n) it.Advance(milliseconds(1100));
     for (const RequestId& id : open) it.remote->Settle(it.now, id, 0);
-    for (int n = 0; n < 5; ++n) it.Pass(milliseconds(1100));
+    for (int n = 0; n < 5; ++n) it.Advance(milliseconds(1100));
     RC_ASSERT(it.holders[0].held + it.holders[1].held == 0);
     RC_ASSERT(it.holders[0].spent + it.holders[1].spent == spent);
   });
