--- a/relay/dialect.h
+++ b/relay/dialect.h
@@ -1,16 +1,16 @@
-// The relay's interface to its surroundings: what it needs to know about
-// requests, answers and stored items, apart from how they are spelled. The
-// adapter to a platform implements these classes and decides nothing; the relay
-// knows none of the platform's names.
+// The interface between the router and a platform: what the router needs to
+// know about requests, answers and stored items, independent of their format. A
+// platform's adapter implements these classes and makes no decisions; the
+// router knows none of the platform's names.
 //
 //   CallerDialect      a caller's head         ->  RequestFacts
 //   TargetDialect      SendFacts               ->  the head that a target gets
 //                      a target's head         ->  AnswerFacts
 //   SharedStateReader  an item of the store    ->  configuration, target
 //
-// Implementations keep no state, and outlive the router that uses them. What
-// can't be read is an error that names the field (HeaderError, ItemError).
-// Times are milliseconds, amounts are tokens.
+// Implementations are stateless, and outlive the router that uses them. Input
+// that can't be read yields an error that names the field (HeaderError,
+// ItemError). Times are milliseconds, amounts are tokens.
 
 #ifndef QUAYTRACK_RELAY_DIALECT_H_
 #define QUAYTRACK_RELAY_DIALECT_H_
@@ -33,58 +33,59 @@
 
 namespace quaytrack {
 
-// What a request's head says.
+// The contents of a request's head.
 struct RequestFacts {
-  // Unique to one attempt of a caller; empty if it has none.
+  // Unique to one attempt of a caller; empty if the head has none.
   RequestId id;
-  // How long the caller waits, from its first byte; nothing if it doesn't say.
+  // How long the caller waits, from the request's first byte; unset if the head
+  // doesn't state it.
   std::optional<std::chrono::milliseconds> time_left;
   // The caller's key; empty if it has none.
   std::string key;
-  // Size of the prompt, and the most that its answer may have; 0 for requests
-  // that are none of a model.
+  // Size of the prompt, and the maximum size of its answer; 0 for requests that
+  // don't use a model.
   Tokens prompt_tokens = 0;
   Tokens most_tokens_out = 0;
-  // The prompt's parts in their order, by which targets with a prefix cache are
-  // told apart; may be empty.
+  // The prompt's parts in order, which select a target with a matching prefix
+  // cache; may be empty.
   std::vector<PromptPart> parts;
 };
 
-// What a target is told beside the request itself.
+// What is sent to a target in addition to the request.
 struct SendFacts {
   TargetName target;
   CustomerName customer;
   std::chrono::milliseconds time_left{};
   // 0 is the most urgent.
   int priority = 0;
-  // The id of the event after which a broken stream goes on; empty to leave
-  // what the request says.
+  // The id of the event after which a broken stream continues; empty to leave
+  // the request's own header.
   std::string last_event;
 };
 
-// What an answer's head says.
+// The contents of an answer's head.
 struct AnswerFacts {
-  // The request that it answers; empty if it doesn't say.
+  // The request that it answers; empty if not stated.
   RequestId request;
   // The target did not run the request.
   bool not_run = false;
   // The target vouches for this answer.
   bool sealed = false;
-  // How much longer the target is slow, if it says so.
+  // How much longer the target is slow; 0 if not stated.
   std::chrono::milliseconds cold_for{0};
-  // What it says of the target's rate limit.
+  // The target's rate limit, as stated in the head.
   RateStatement rate;
-  // The target says that it leaves.
+  // The target announces that it leaves.
   bool leaving = false;
-  // For how long the target wants nothing further of this router; 0 if it
-  // doesn't say so.
+  // How long the target accepts no further requests from this router; 0 if not
+  // stated.
   std::chrono::milliseconds back_off{0};
 };
 
 class CallerDialect {
  public:
   virtual ~CallerDialect() = default;
-  // An error names the header that can't be read.
+  // The error names the header that can't be read.
   virtual boost::leaf::result<RequestFacts> Read(
       const HttpHead& head) const = 0;
 };
@@ -97,7 +98,7 @@
 class TargetDialect {
  public:
   virtual ~TargetDialect() = default;
-  // The head to send, up to and with the empty line.
+  // The head to send, including the empty line.
   virtual std::string Head(const HttpHead& request, const SendFacts& facts,
                            std::size_t body_bytes) const = 0;
   virtual AnswerFacts Read(const HttpHead& head) const = 0;
@@ -109,7 +110,7 @@
   std::string problem;
 };
 
-// What the store says of a service's move to another version: that it has begun
+// The stored status of a service's roll-out to another version: started
 // (kBegun), or how it ended (kCompleted, kReverted).
 struct RolloutStatus {
   ServiceName service;
@@ -117,7 +118,7 @@
   RolloutEvent said = RolloutEvent::kBegun;
 };
 
-// Reads what operators and targets keep in the store.
+// Reads the items that operators and targets keep in the store.
 class SharedStateReader {
  public:
   virtual ~SharedStateReader() = default;
@@ -130,16 +131,16 @@
       const StoreItem& item) const = 0;
   virtual TargetName TargetOf(const std::string& key) const = 0;
   // The hall that an item with this key closes to new work, whatever its value;
-  // nothing if it is another item or names no hall. It stands below
-  // `ConfigPrefix`.
+  // std::nullopt for other items and if the key names no hall. Such keys are
+  // below `ConfigPrefix`.
   virtual std::optional<HallName> ClosedHall(const std::string& key) const = 0;
-  // The service whose move to another version an item with this key orders;
-  // nothing if it is another item. It stands below `ConfigPrefix`.
+  // The service whose roll-out an item with this key orders; std::nullopt for
+  // other items. Such keys are below `ConfigPrefix`.
   virtual std::optional<ServiceName> RolledOutService(
       const std::string& key) const = 0;
   virtual boost::leaf::result<RolloutOrder> Rollout(
       const StoreItem& item) const = 0;
-  // Where operators read how it stands, and what.
+  // The key at which operators read a roll-out's status, and its value.
   virtual std::string RolloutStatusKey(const ServiceName& service) const = 0;
   virtual std::string EncodeRolloutStatus(
       const RolloutStatus& status) const = 0;
--- a/relay/planned_stop.cc
+++ b/relay/planned_stop.cc
@@ -9,8 +9,8 @@
 namespace quaytrack {
 namespace {
 
-// How often returned grants are looked for. They come within 0.1 s, so a few
-// looks; the router's own checks are 0.2 s apart.
+// Interval of checks for returned grants. They arrive within 0.1 s, so a few
+// checks suffice; the router's own checks are 0.2 s apart.
 constexpr Duration kReturnCheck = std::chrono::milliseconds(20);
 
 }  // namespace
@@ -25,15 +25,15 @@
       machine_(chart) {}
 
 void PlannedStop::Check() {
-  if (machine_.state() == DrainState::kUnready && balancer_time_over_ &&
-      on_.requests_before(TakesAllUntil()) == 0) {
+  if (machine_.state() == DrainState::kUnready && balancer_delay_over_ &&
+      on_.requests_before(AcceptAllUntil()) == 0) {
     Apply(DrainEvent::kBalancerNoticed);
   }
   if (machine_.state() == DrainState::kFinishing && on_.requests() == 0) {
     on_.close_idle();
     Apply(DrainEvent::kRequestsEnded);
   }
-  // Grants may be back at once.
+  // Grants may be returned at once.
   if (machine_.state() == DrainState::kReturning && on_.grants_returned()) {
     Apply(DrainEvent::kLedgerReturned);
   }
@@ -60,7 +60,7 @@
       return Instant::max();
     case DrainState::kUnready:
     case DrainState::kFinishing:
-      return clock_.Now() < TakesAllUntil() ? Instant::max() : RequestsEnd();
+      return clock_.Now() < AcceptAllUntil() ? Instant::max() : RequestsEnd();
     case DrainState::kReturning:
     case DrainState::kStopped:
       return Instant::min();
@@ -69,15 +69,16 @@
 }
 
 void PlannedStop::ReportUnready() {
-  begun_ = clock_.Now();
+  started_at_ = clock_.Now();
   on_.report_unready();
-  requests_timer_ =
-      loop_.After(times_.total - times_.margin, [this] { OnRequestsTimeUp(); });
-  step_timer_ = loop_.After(times_.balancer, [this] { OnBalancerTimeOver(); });
+  requests_timer_ = loop_.After(times_.total - times_.margin,
+                                [this] { OnRequestsTimeout(); });
+  step_timer_ =
+      loop_.After(times_.balancer_delay, [this] { OnBalancerDelayOver(); });
 }
 
-void PlannedStop::OnBalancerTimeOver() {
-  balancer_time_over_ = true;
+void PlannedStop::OnBalancerDelayOver() {
+  balancer_delay_over_ = true;
   on_.close_idle();
   Check();
 }
@@ -87,7 +88,7 @@
   on_.close_idle();
 }
 
-void PlannedStop::OnRequestsTimeUp() {
+void PlannedStop::OnRequestsTimeout() {
   const std::size_t n = on_.requests();
   if (n > 0) {
     LogEvent(Event::kDrainTimedOut, {{"requests", std::to_string(n)},
@@ -95,16 +96,18 @@
     on_.end_unfinished(Left());
   }
   if (machine_.state() == DrainState::kUnready) on_.stop_listening();
-  // Posted behind the holds that the ended requests' tokens were granted to:
-  // those waiters have ended too, and give back what they were granted.
+  // Posted after the callbacks of holds that were granted from the tokens of
+  // the ended requests: those waiters have ended too, and return what they were
+  // granted.
   loop_.Post([this] { Apply(DrainEvent::kTimeUp); });
 }
 
 void PlannedStop::ReturnGrants() {
   requests_timer_.reset();
   on_.return_grants();
-  const Duration most = std::min(times_.returning, Left() - times_.spare);
-  step_timer_ = loop_.After(std::max(most, Duration::zero()),
+  const Duration timeout =
+      std::min(times_.return_timeout, Left() - times_.reserve);
+  step_timer_ = loop_.After(std::max(timeout, Duration::zero()),
                             [this] { Apply(DrainEvent::kTimeUp); });
   return_check_ = loop_.Every(kReturnCheck, [this] { Check(); });
 }
@@ -113,7 +116,7 @@
   step_timer_.reset();
   return_check_.reset();
   on_.finished(Left());
-  exit_timer_ = loop_.After(times_.last_writes, [this] { loop_.Stop(); });
+  exit_timer_ = loop_.After(times_.final_writes, [this] { loop_.Stop(); });
 }
 
 }  // namespace quaytrack
--- a/relay/relay_metrics.cc
+++ b/relay/relay_metrics.cc
@@ -5,12 +5,12 @@
 namespace quaytrack {
 namespace {
 
-// Upper bounds in seconds, each about twice the one before. Not measured.
-const prometheus::Histogram::BucketBoundaries kSeconds = {
+// Upper bounds in seconds, each about twice the previous one.
+const prometheus::Histogram::BucketBoundaries kSecondsBounds = {
     0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8};
 
-// Parts of an expected time, closer around 1.
-const prometheus::Histogram::BucketBoundaries kParts = {
+// Multiples of an expected time, denser around 1.
+const prometheus::Histogram::BucketBoundaries kRatioBounds = {
     0.25, 0.5, 0.75, 0.9, 1.1, 1.25, 1.5, 2, 3, 5, 10};
 
 }  // namespace
@@ -33,7 +33,7 @@
                .Name("quaytrack_first_event_over_expected")
                .Help("Time to a first event, in parts of what was expected")
                .Register(registry_)
-               .Add({}, kParts)),
+               .Add({}, kRatioBounds)),
       gauges_(prometheus::BuildGauge()
                   .Name("quaytrack_state")
                   .Help("What the router holds, by name")
@@ -52,7 +52,7 @@
 
 std::string RelayMetrics::LabelFor(const CustomerName& customer) {
   if (labelled_.contains(customer)) return customer.value;
-  if (labelled_.size() >= kMostCustomers) return "other";
+  if (labelled_.size() >= kMaxLabelledCustomers) return "other";
   labelled_.insert(customer);
   return customer.value;
 }
@@ -60,7 +60,7 @@
 void RelayMetrics::CountEnd(const CustomerName& customer,
                             std::string_view cause, Duration took) {
   ends_.Add({{"cause", std::string(cause)}}).Increment();
-  total_.Add({{"customer", LabelFor(customer)}}, kSeconds)
+  total_.Add({{"customer", LabelFor(customer)}}, kSecondsBounds)
       .Observe(ToSeconds(took));
 }
 
@@ -69,7 +69,7 @@
   first_byte_
       .Add({{"customer", LabelFor(customer)},
             {"kind", std::string(NameOf(kind))}},
-           kSeconds)
+           kSecondsBounds)
       .Observe(ToSeconds(took));
 }
 
--- a/relay/relay_metrics.h
+++ b/relay/relay_metrics.h
@@ -1,4 +1,5 @@
-// The relay's metrics, by prometheus-cpp. Times are in seconds.
+// RelayMetrics holds the router's metrics, by prometheus-cpp. Times are in
+// seconds.
 //
 //   quaytrack_requests_total       ends, by cause (relay/final_answer.h)
 //   quaytrack_retries_total        sends of a request beyond its first
@@ -6,15 +7,17 @@
 //                                  route
 //   quaytrack_request_seconds      to the end, by customer
 //   quaytrack_first_event_over_expected
-//                                  time to the first event, in parts of what
-//                                  was expected when its engine was chosen
+//                                  time to the first event, as a multiple of
+//                                  the time expected when its engine was chosen
+//   quaytrack_sends_held_back_total
+//                                  sends stopped before anything was written
 //   quaytrack_state                gauges of the router, by name
 //
 //   metrics.CountEnd(customer, NameOf(cause), took);
 //   reply(metrics.Text());
 //
-// To bound what a scrape costs, customers after the first `kMostCustomers`
-// share the label "other".
+// To bound the size of a scrape, customers after the first
+// `kMaxLabelledCustomers` share the label "other".
 
 #ifndef QUAYTRACK_RELAY_RELAY_METRICS_H_
 #define QUAYTRACK_RELAY_RELAY_METRICS_H_
@@ -43,18 +46,18 @@
                 Duration took);
   void ObserveFirstByte(const CustomerName& customer, RouteKind kind,
                         Duration took);
-  // `expected_ms` over 0.
+  // `expected_ms` must be greater than 0.
   void ObserveFirstEvent(Duration took, double expected_ms);
   void CountRetry() { retries_->Increment(); }
   void CountHeldBack() { held_back_->Increment(); }
   void SetGauge(const std::string& name, double value);
 
-  // The text form that a scrape returns.
+  // The text format that a scrape returns.
   std::string Text() const;
 
  private:
-  // Customers with labels of their own. Not measured.
-  static constexpr std::size_t kMostCustomers = 50;
+  // Customers with their own label.
+  static constexpr std::size_t kMaxLabelledCustomers = 50;
 
   std::string LabelFor(const CustomerName& customer);
 
--- a/relay/relay_options.h
+++ b/relay/relay_options.h
@@ -1,6 +1,6 @@
-// What the parts of the relay are given of the settings (relay_settings.h) and
-// of the configuration. A field that isn't set here keeps the default of the
-// part's own options, where its unit and origin stand.
+// Converts settings (relay_settings.h) and configuration into the options of
+// the router's components. A field that isn't set here keeps the default of the
+// component's options, where its unit and reason are documented.
 //
 //   FleetDriver fleet(loop, store, self, FleetOptionsFrom(settings));
 
@@ -33,8 +33,8 @@
   return out;
 }
 
-// Of a target that names a rate limit, all routers together may take so many
-// times the limit, and so many requests more, in any such span.
+// For a target that announces a rate limit: in any such span, all routers
+// together may send this multiple of the limit, and this many requests more.
 inline constexpr RateAllowance kLimitAllowance{std::chrono::seconds(4), 1.5, 5};
 
 inline PlacementRates RatesFrom(const RelaySettings& settings, Instant now) {
@@ -43,12 +43,12 @@
   return {SharedRate(now, cold), SharedRate(now, kLimitAllowance)};
 }
 
-// What a version gets on trial, of what a bad one may get of all requests: the
-// rest is for routers that start again and begin to count anew.
-inline constexpr double kTrialOfExposure = 0.6;
+// A version on trial gets this fraction of the exposure that a bad version may
+// have. The rest covers routers that restart and begin to count anew.
+inline constexpr double kTrialShareOfExposure = 0.6;
 
 inline Rollout::Options RolloutOptionsFrom(const RelaySettings& settings) {
-  return {settings.exposure_share * kTrialOfExposure};
+  return {settings.exposure_share * kTrialShareOfExposure};
 }
 
 inline std::map<ServiceName, ColdRule> ColdRulesFrom(const ServiceMap& map) {
--- a/relay/relay_settings.cc
+++ b/relay/relay_settings.cc
@@ -10,38 +10,39 @@
   };
   AddIdentityFlags(
       app, flags, "Name of this VM",
-      "Address for the balancer's question whether this router is ready");
+      "Address at which the balancer checks whether this router is ready");
   add("--metrics-listen", flags.metrics_listen,
       "Address for metrics; empty for none");
   add("--store", flags.store, "Address of the store");
-  add("--ready-path", flags.ready_path, "Path at which readiness is asked");
+  add("--ready-path", flags.ready_path, "Path of the readiness check");
   AddLogFlags(app, flags);
   add("--retry-ratio", flags.retry_ratio,
-      "Retries at a service, as a part of the requests for it");
+      "Retries at a service, as a fraction of the requests for it");
   add("--retry-slack", flags.retry_slack,
       "Retries at a service beyond that, of all routers together");
   add("--retry-window-s", flags.retry_window_s,
       "Span in seconds over which retries are counted");
   add("--cold-overage", flags.cold_overage,
-      "Requests a second to a cold target, in times of what its service says");
+      "Requests a second to a cold target, as a multiple of its service's "
+      "rate");
   add("--cold-slack", flags.cold_slack,
       "Requests to a cold target beyond that, in any second");
   add("--exposure-share", flags.exposure_share,
-      "Part of a service's requests that an unproven version may get");
+      "Fraction of a service's requests that an unproven version may get");
   add("--drain-s", flags.drain_s,
-      "Seconds from a request to stop until the process is killed");
+      "Seconds from SIGTERM until the process is killed");
   add("--standing-share", flags.standing_share,
-      "Part of a budget's rest that all routers together keep granted");
+      "Fraction of a budget's remaining tokens kept granted by all routers");
   add("--small-fleet", flags.small_fleet,
-      "Up to so many routers, each keeps a part of the budgets itself");
+      "Largest fleet in which every router keeps grants of the budgets");
   add("--holders-per-hall", flags.holders_per_hall,
-      "Routers of a hall that keep budgets in a larger fleet");
+      "Routers of each hall that keep grants in a larger fleet");
   add("--regions", flags.regions,
       "The region of each hall, as hall=region,hall=region");
   add("--link-mbps", flags.link_mbps,
-      "Megabits a second of this VM's network link; 0 if it isn't known");
+      "Megabits a second of this VM's network link; 0 if unknown");
   add("--cores", flags.cores,
-      "Processors of this VM, in parts too; 0 if it isn't known");
+      "Processors of this VM, may be a fraction; 0 if unknown");
   add("--cover-s", flags.cover_s,
       "Seconds of its own spending that a router keeps granted at least");
   AddCheckFlag(app, flags);
--- a/relay/relay_settings.h
+++ b/relay/relay_settings.h
@@ -1,11 +1,11 @@
 // Settings of `quaytrack relay`.
 //
-// What both programs have (identity, addresses, log) is in
-// net/process_settings.h; this adds the relay's own. RelayFlags is what was
-// given, RelaySettings what the relay works with; they share RelayValues, which
-// is the same in both. Settings are checked as a whole before anything starts,
-// and every fault is reported with the flag, the value given and what is
-// allowed. Nothing changes while the process runs.
+// Settings that both programs have (identity, addresses, log) are in
+// net/process_settings.h; this file adds the relay's. RelayFlags holds the
+// flags as given, RelaySettings the checked settings; both derive from
+// RelayValues, whose fields are the same in each. All settings are checked
+// before anything starts, and every fault is reported with the flag, the value
+// given and what is allowed. Settings don't change while the process runs.
 //
 //   RelayFlags flags;
 //   AddRelayFlags(app, flags);
@@ -13,9 +13,9 @@
 //   RelaySettings settings;
 //   for (const SettingFault& it : CheckRelaySettings(flags, settings)) ...
 //
-// A default is for a process that is started by hand. deploy/system.toml sets
-// the addresses, the retry bounds, the link and the time to stop from what the
-// platform says.
+// Defaults are for a process that is started by hand. deploy/system.toml sets
+// the addresses, the retry bounds, the link and the time to stop from the
+// platform's values.
 
 #ifndef QUAYTRACK_RELAY_RELAY_SETTINGS_H_
 #define QUAYTRACK_RELAY_RELAY_SETTINGS_H_
@@ -29,47 +29,45 @@
 namespace quaytrack {
 
 struct RelayValues : ProcessIdentity {
-  // Empty for none.
+  // Empty to serve no metrics.
   std::string metrics_listen;
   std::string store;
   std::string ready_path = "/readyz";
-  // Retries at a service: this part of the requests for it, and this many more
-  // of all routers together (dispatch/retry_share.h). Not measured; the
-  // platform gives both.
+  // Limit on retries at a service: this fraction of the requests for it, and
+  // this many more for all routers together (dispatch/retry_share.h). The
+  // platform sets both.
   double retry_ratio = 0.2;
   double retry_slack = 50;
-  // All routers together may send a cold target so many times what its service
-  // says that it bears, and so many requests more, in any second
-  // (dispatch/shared_rate.h). The defaults allow nothing beyond that; the
-  // platform gives both.
+  // All routers together may send a cold target this multiple of the rate that
+  // its service allows, and this many requests more, in any second
+  // (dispatch/shared_rate.h). The defaults allow nothing beyond that rate; the
+  // platform sets both.
   double cold_overage = 1;
   double cold_slack = 0;
-  // Part of a service's requests that a bad version may get of all routers
-  // together, while operators move the service to it.
+  // Fraction of a service's requests that a bad version may get from all
+  // routers together during a roll-out.
   double exposure_share = 0.1;
-  // Part of what remains of a budget that all routers together keep granted.
-  // Chosen by the runs in docs/design/prepaid.md, "Measured".
+  // Fraction of a budget's remaining tokens that all routers together keep
+  // granted. docs/design/prepaid.md, "Measured", compares values.
   double standing_share = 0.3;
-  // Up to so many routers, each keeps budgets; beyond, so many of each hall
-  // (fleet/fleet.h). Twelve is not measured; three and two a hall were compared
-  // in docs/design/prepaid.md, "Large fleets".
+  // In a fleet of up to this many routers, each keeps grants; in a larger one,
+  // this many in each hall do (fleet/fleet.h). docs/design/prepaid.md, "Large
+  // fleets", compares three and two a hall.
   int small_fleet = 12;
   int holders_per_hall = 3;
   // The region of each hall (fleet/hall_regions.h).
   std::string regions;
-  // What the VM has: megabits a second of its network link, and its share of a
-  // processor; 0 if it isn't known.
+  // The VM's network link in megabits a second, and its number of processors,
+  // which may be a fraction; 0 if unknown.
   double link_mbps = 0;
   double cores = 0;
 };
 
-// As given, before they are checked.
+// The flags as given, before they are checked.
 struct RelayFlags : RelayValues, LogFlags {
-  // Not measured; the platform gives it.
   int retry_window_s = 10;
-  // Not measured; the platform gives it.
   int drain_s = 8;
-  // Chosen by the runs in docs/design/prepaid.md, "Headroom".
+  // docs/design/prepaid.md, "Headroom", compares values.
   int cover_s = 5;
 };
 
@@ -77,13 +75,13 @@
   std::chrono::seconds retry_window{};
   // From SIGTERM until the process is killed.
   std::chrono::seconds drain_time{};
-  // Of its own spending that a router keeps granted.
+  // A router keeps at least what it spends in this time granted.
   std::chrono::seconds cover{};
 };
 
 void AddRelayFlags(CLI::App& app, RelayFlags& flags);
 
-// Fills `out` and returns no faults, or returns them all.
+// Fills `out`. Returns all faults, or none.
 std::vector<SettingFault> CheckRelaySettings(const RelayFlags& flags,
                                              RelaySettings& out);
 
--- a/relay/testing/planned_stop_test.cc
+++ b/relay/testing/planned_stop_test.cc
@@ -1,4 +1,5 @@
-// The steps of a planned stop, and what ends each.
+// Tests the steps of a planned stop, the condition that ends each, and which
+// requests are still accepted.
 
 #include "relay/planned_stop.h"
 
@@ -17,20 +18,20 @@
 using std::chrono::milliseconds;
 using Steps = std::vector<std::string>;
 
-// Finishing at 100 ms; requests have time enough.
+// Finishing starts at 100 ms; requests have plenty of time.
 PlannedStopTimes LongTimes() {
   PlannedStopTimes out;
-  out.balancer = milliseconds(100);
-  out.takes_all = milliseconds(150);
-  out.returning = milliseconds(80);
-  out.last_writes = milliseconds(5);
-  out.spare = milliseconds(10);
+  out.balancer_delay = milliseconds(100);
+  out.accept_all = milliseconds(150);
+  out.return_timeout = milliseconds(80);
+  out.final_writes = milliseconds(5);
+  out.reserve = milliseconds(10);
   out.total = std::chrono::minutes(1);
   out.margin = milliseconds(100);
   return out;
 }
 
-// From the start: finishing at 100 ms, out of time at 300 ms.
+// Finishing starts at 100 ms, and the time for requests ends at 300 ms.
 PlannedStopTimes Times() {
   PlannedStopTimes out = LongTimes();
   out.total = milliseconds(400);
@@ -67,13 +68,13 @@
   Steps Taken() { return std::exchange(steps, {}); }
   // Whether the loop ends by itself.
   bool LoopEnds() {
-    bool late = false;
+    bool timed_out = false;
     const auto guard = loop.After(std::chrono::seconds(5), [&] {
-      late = true;
+      timed_out = true;
       loop.Stop();
     });
     loop.Run();
-    return !late;
+    return !timed_out;
   }
 
   const SystemClock clock;
@@ -81,7 +82,7 @@
   DrainChart chart = BoundChart();
   Steps steps;
   std::size_t requests = 1;
-  // Of them, those that began while all were taken; empty: all.
+  // Those that began within `accept_all`; unset: all of them.
   std::optional<std::size_t> old_requests;
   bool returned = false;
   PlannedStop stop;
@@ -99,7 +100,7 @@
   stop.Start();
   BOOST_TEST(stop.started());
   BOOST_TEST((Taken() == Steps{"report_unready"}));
-  // The balancer may not have noticed, though no request runs.
+  // No request runs, but the balancer may not have noticed yet.
   requests = 0;
   stop.Check();
   BOOST_TEST(Taken().empty());
@@ -122,7 +123,7 @@
 
 BOOST_AUTO_TEST_CASE(RequestsThatDontEndAreNotWaitedForUntilTheKill) {
   Fixture it(Times());
-  // On the loop's own timers, whose order doesn't depend on the machine's load.
+  // Uses timers of the loop, whose order doesn't depend on the machine's load.
   Steps taken;
   const auto before = it.loop.After(milliseconds(250), [&] { it.Taken(); });
   const auto after = it.loop.After(milliseconds(350), [&] {
@@ -142,12 +143,12 @@
   requests = 0;
   stop.Check();
   Taken();
-  // Before the time for requests would be up.
+  // Earlier than the time for requests ends.
   RunFor(loop, milliseconds(130));
   BOOST_TEST((Taken() == Steps{"finished"}));
 }
 
-// Requests that came late are waited for, but take no new ones with them.
+// Late requests are waited for, but the router stops listening meanwhile.
 BOOST_FIXTURE_TEST_CASE(LateRequestsDontProlongTheListening, Fixture) {
   stop.Start();
   RunFor(loop, milliseconds(200));
@@ -164,7 +165,7 @@
   BOOST_TEST((stop.LatestDeadline() == Instant::max()));
   stop.Start();
   const Instant end = clock.Now() + LongTimes().total - LongTimes().margin;
-  // The balancer sends as ever, so all are served.
+  // The balancer may not have noticed yet, so all requests are accepted.
   BOOST_TEST((stop.LatestDeadline() == Instant::max()));
   RunFor(loop, milliseconds(200));
   BOOST_TEST((stop.LatestDeadline() <= end));
@@ -177,10 +178,11 @@
   BOOST_TEST((stop.LatestDeadline() == Instant::min()));
 }
 
-// With less time than the balancer needs, the stop still ends before the kill.
+// If the balancer needs more time than there is, the stop still ends before the
+// kill.
 BOOST_AUTO_TEST_CASE(AShortStopEndsBeforeTheKill) {
   PlannedStopTimes times = Times();
-  times.balancer = std::chrono::seconds(3);
+  times.balancer_delay = std::chrono::seconds(3);
   Fixture it(times);
   Steps taken;
   const auto after = it.loop.After(milliseconds(350), [&] {
