--- a/relay/feed_chart.h
+++ b/relay/feed_chart.h
@@ -1,10 +1,10 @@
-// How a router keeps up with one prefix of the store (relay/state_feed.h):
+// How a router follows one prefix of the store (relay/state_feed.h):
 // chart/charts/feed.json.
 //
-//   reading  by calls of its own: at the start, in a small fleet, and whenever
-//            no reader of the fleet has shown for a while that it is current
-//   told     by the readers, without any call
-//   reader   by calls of its own, and tells the others
+//   reading  makes its own calls: at the start, in a small fleet, and whenever
+//            no reader of the fleet has been current for a while
+//   told     is sent changes by the readers and makes no call
+//   reader   makes its own calls and sends changes to the others
 //
 // Each state may be the last one, as a process may end at any time.
 
@@ -19,10 +19,10 @@
 
 enum class FeedState { kReading, kTold, kReader };
 enum class FeedEvent {
-  kToldFresh,  // a reader was current a moment ago, and all it had is known
-  kStale,      // no reader has shown that for a while
-  kChosen,     // by the list of routers this one is a reader
-  kResigned,   // it no longer is
+  kToldFresh,  // a reader was current just now, and its state is known here
+  kStale,      // no reader was current for a while
+  kChosen,     // the list of routers makes this one a reader
+  kResigned,   // this router is no longer a reader
 };
 enum class FeedAction {
   kNone,
--- a/relay/feed_news.h
+++ b/relay/feed_news.h
@@ -1,22 +1,25 @@
-// What readers of the store tell other routers of it (relay/state_feed.h).
+// The messages about the store's state that readers send to other routers
+// (relay/state_feed.h).
 //
-//   FeedMark mark{latest, age};        // in each sign of life of a reader
+//   FeedMark mark{latest, age};        // in each heartbeat of a reader
 //   FeedNews news;                     // changes, or all items
 //
-// Revisions are the store's. What a router knows is described by one of them:
-// it has every change of the prefix up to there. News say from which revision
-// they lead to which, so that a receiver sees whether it has missed something.
+// Revisions are the store's. One revision describes what a router knows: it has
+// every change of the prefix up to there. An update names the revision at which
+// it starts and the one at which it ends, so a receiver can tell whether it has
+// missed a change.
 //
-// News lead on within one era of the store. Nothing leads from an era to a
-// later one, so of that a receiver is only told, and asks for all items.
+// An update starts and ends in one era of the store. No update leads from one
+// era to a later one: a receiver in an earlier era is only notified of the
+// later one, and requests all items.
 //
-// Whoever is behind asks for what has changed after the revision that it knows,
-// or for all items, and is sent it in pages, in the order of keys. It asks for
-// each page once it has the one before, so that what a reader has under way is
-// bounded for each that asks, and any reader can send the next page.
+// A router that is behind requests what has changed after the revision that it
+// knows, or all items, and receives pages in the order of keys. It requests
+// each page after it has received the one before. This bounds what a reader has
+// to send to each router at a time, and any reader can send the next page.
 //
-// Ages are spans of the sender's clock, so that no two clocks are compared. The
-// time that a message takes isn't in them.
+// Ages are durations by the sender's clock, so the clocks of two routers are
+// never compared. They don't include the time that the message takes.
 
 #ifndef QUAYTRACK_RELAY_FEED_NEWS_H_
 #define QUAYTRACK_RELAY_FEED_NEWS_H_
@@ -30,7 +33,7 @@
 
 namespace quaytrack {
 
-// The prefixes that are followed.
+// The prefixes of the store that routers follow.
 enum class FeedName { kConfig, kTargets, kCrashes };
 
 template <>
@@ -42,27 +45,28 @@
 };
 
 struct FeedMark {
-  // Of the latest change that the sender knows.
+  // Revision of the latest change that the sender knows.
   StoreRevision revision;
-  // How long ago the store, or another reader, has shown the sender that there
+  // Time since the store, or another reader, last showed the sender that there
   // was no later change.
   Duration age{};
 };
 
 struct FeedNews {
   FeedName feed = FeedName::kConfig;
-  // `changes` are all that happened after `since` and up to `revision`; of all
-  // items (PeerMessageKind::kState), `since` is the least. Who asks
-  // (kStateWanted) names what it knows.
+  // `changes` holds every change after `since` and up to `revision`. If it
+  // holds all items (PeerMessageKind::kState), `since` is the lowest revision.
+  // In a request (kStateWanted), `since` is the revision that the sender knows.
   StoreRevision since;
   StoreRevision revision;
   Duration age{};
-  // There are changes, too large to be sent unasked; `changes` is empty.
+  // There are changes, too large to be sent without a request; `changes` is
+  // empty.
   bool only_notice = false;
-  // kStateWanted: the sender takes its answer in pages. Builds that don't are
-  // sent all items at once.
+  // kStateWanted: the sender accepts pages. Older builds don't, and are sent
+  // all items at once.
   bool paged = false;
-  // kStateWanted, kState: the page begins after this key.
+  // kStateWanted, kState: the page starts after this key.
   std::string after;
   // kState: another page follows.
   bool more = false;
--- a/relay/feed_pages.cc
+++ b/relay/feed_pages.cc
@@ -15,12 +15,12 @@
 
 }  // namespace
 
-// --- The reader's side -------------------------------------------------------
+// --- At the reader -----------------------------------------------------------
 
 void FeedItemBook::Start(const std::vector<StoreItem>& items,
                          StoreRevision revision) {
   Clear();
-  removals_from_ = revision;
+  removals_since_ = revision;
   for (const StoreItem& it : items) Apply({it, false});
 }
 
@@ -28,7 +28,7 @@
   items_.clear();
   bytes_ = 0;
   removed_.clear();
-  removals_from_ = {};
+  removals_since_ = {};
 }
 
 void FeedItemBook::Apply(const StoreChange& change) {
@@ -44,34 +44,35 @@
   }
   removed_.push_back({change.item.key, change.item.revision});
   if (removed_.size() <= kMostRemoved) return;
-  removals_from_ = std::max(removals_from_, removed_.front().revision);
+  removals_since_ = std::max(removals_since_, removed_.front().revision);
   removed_.pop_front();
 }
 
 std::vector<StoreChange> FeedItemBook::Replace(
     const std::vector<StoreItem>& items, StoreRevision revision) {
   std::vector<StoreChange> out;
-  std::set<std::string> gone;
-  for (const auto& [key, it] : items_) gone.insert(key);
+  std::set<std::string> missing;
+  for (const auto& [key, it] : items_) missing.insert(key);
   for (const StoreItem& it : items) {
-    const auto known = items_.find(it.key);
+    const auto before = items_.find(it.key);
     const bool same =
-        known != items_.end() && known->second.revision == it.revision;
+        before != items_.end() && before->second.revision == it.revision;
     if (!same) out.push_back({it, false});
-    gone.erase(it.key);
+    missing.erase(it.key);
   }
-  for (const std::string& key : gone) {
+  for (const std::string& key : missing) {
     out.push_back({{key, "", revision}, true});
   }
   for (const StoreChange& it : out) Apply(it);
-  // What was there only between the two readings was not seen to go.
-  removals_from_ = revision;
+  // An item that was written and removed between the two readings left no
+  // removal.
+  removals_since_ = revision;
   return out;
 }
 
 bool FeedItemBook::Covers(StoreRevision since, StoreRevision revision) const {
   return since != StoreRevision() && since.era == revision.era &&
-         since >= removals_from_;
+         since >= removals_since_;
 }
 
 std::optional<FeedNews> FeedItemBook::PageFor(const FeedNews& wanted,
@@ -95,14 +96,14 @@
   }
 }
 
-void FeedItemBook::AddItems(std::size_t most_bytes, FeedNews& page) const {
+void FeedItemBook::AddItems(std::size_t max_bytes, FeedNews& page) const {
   std::size_t bytes = 0;
   bool has_item = false;
   for (auto it = items_.upper_bound(page.after); it != items_.end(); ++it) {
     const StoreItem& item = it->second;
     if (item.revision <= page.since) continue;
     bytes += BytesOf(item);
-    if (has_item && bytes > most_bytes) {
+    if (has_item && bytes > max_bytes) {
       page.more = true;
       return;
     }
@@ -111,31 +112,31 @@
   }
 }
 
-// --- The side that is behind -------------------------------------------------
+// --- At the router that is behind --------------------------------------------
 
 FeedNews FeedPageReader::Next(StoreRevision known) const {
   FeedNews out;
   out.paged = true;
-  out.since = under_way_ ? under_way_->since : known;
-  if (under_way_) out.after = under_way_->changes.back().item.key;
+  out.since = partial_ ? partial_->since : known;
+  if (partial_) out.after = partial_->changes.back().item.key;
   return out;
 }
 
-bool FeedPageReader::GoesOn(const FeedNews& page) const {
-  return under_way_ && page.since == under_way_->since &&
-         page.revision.era == under_way_->revision.era &&
-         page.after == under_way_->changes.back().item.key;
+bool FeedPageReader::Follows(const FeedNews& page) const {
+  return partial_ && page.since == partial_->since &&
+         page.revision.era == partial_->revision.era &&
+         page.after == partial_->changes.back().item.key;
 }
 
 PageStep FeedPageReader::Take(const FeedNews& page) {
-  // It names no key to go on from.
+  // The page has no key after which the next one could start.
   if (page.more && page.changes.empty()) return PageStep::kPassedOver;
   if (page.after.empty()) {
-    under_way_ = page;
-  } else if (GoesOn(page)) {
-    under_way_->revision = std::min(under_way_->revision, page.revision);
+    partial_ = page;
+  } else if (Follows(page)) {
+    partial_->revision = std::min(partial_->revision, page.revision);
     std::copy(page.changes.begin(), page.changes.end(),
-              std::back_inserter(under_way_->changes));
+              std::back_inserter(partial_->changes));
   } else {
     DropIfOfEarlierEra(page);
     return PageStep::kPassedOver;
@@ -143,13 +144,13 @@
   return page.more ? PageStep::kGoesOn : PageStep::kComplete;
 }
 
-// Readers have nothing more of an era that is over.
+// Readers have no further page of an era that has ended.
 void FeedPageReader::DropIfOfEarlierEra(const FeedNews& page) {
-  if (under_way_ && under_way_->revision.era < page.revision.era) Drop();
+  if (partial_ && partial_->revision.era < page.revision.era) Drop();
 }
 
 FeedNews FeedPageReader::Finish() {
-  FeedNews out = std::move(*under_way_);
+  FeedNews out = std::move(*partial_);
   Drop();
   return out;
 }
--- a/relay/feed_pages.h
+++ b/relay/feed_pages.h
@@ -1,4 +1,5 @@
-// What a reader of the store sends to a router that is behind, page by page.
+// The pages in which a reader of the store sends changes to a router that is
+// behind.
 //
 //   FeedItemBook book;                        // at the reader
 //   book.Start(items, revision);
@@ -6,22 +7,24 @@
 //   if (auto page = book.PageFor(wanted, book_revision)) send(*page);
 //
 //   FeedPageReader pages;                     // at the router that is behind
-//   ask(pages.Next(known));
+//   request(pages.Next(known));
 //   if (pages.Take(page) == PageStep::kComplete) use(pages.Finish());
 //
-// A page has the items that changed after the asker's revision, in the order of
-// keys, from the key where the page before it ended. The first page also has
-// the keys that were removed since then. Removals are remembered up to
-// `kMostRemoved`; who is further behind is sent all items from the beginning.
+// A page holds the items that changed after the requester's revision, in the
+// order of keys, starting after the last key of the previous page. The first
+// page also holds the keys that were removed since then. A reader remembers
+// `kMostRemoved` removals; a router that is further behind is sent all items.
 //
-// Nothing is kept for an asker between two pages, so it may ask another reader
-// for the next one, and a reader may end at any time. Items may change while
-// their pages are under way. What all pages together show is therefore said to
-// be known only up to the lowest revision among them, and an item may be newer;
-// what is asked next, from that revision on, shows it again. A list that the
-// store shows in pages is of the same kind (kv/store.h).
+// A reader keeps no state for a requester between two pages, so the requester
+// may turn to another reader for the next page, and a reader may end at any
+// time. Items may change while the pages are being sent. The complete answer
+// therefore counts as known only up to the lowest revision of its pages, and an
+// item in it may be newer; the next request, from that revision on, shows such
+// an item again. A list that the store returns in pages has the same property
+// (kv/store.h).
 //
-// Pages of different eras are no answer together; the later one starts anew.
+// Pages of different eras don't form one answer; a first page of the later era
+// starts a new one.
 
 #ifndef QUAYTRACK_RELAY_FEED_PAGES_H_
 #define QUAYTRACK_RELAY_FEED_PAGES_H_
@@ -38,28 +41,29 @@
 
 namespace quaytrack {
 
-// The items of one prefix, and which were removed lately.
+// The items of one prefix, and its latest removals.
 class FeedItemBook {
  public:
-  // Of keys and values, in one page; an item larger than that is a page alone.
-  // All routers of a hall may ask one reader at the same moment.
+  // Size of one page in bytes of keys and values; a larger item is sent in a
+  // page of its own. The bound is needed because all routers of a hall may send
+  // requests to one reader at the same moment.
   static constexpr std::size_t kPageBytes = 32 * 1024;
-  // Keys whose removal is remembered.
+  // Number of removals that are remembered.
   static constexpr std::size_t kMostRemoved = 4096;
 
-  // All items, as of `revision`; nothing is known of what was removed before.
+  // Sets all items, as of `revision`; earlier removals are unknown.
   void Start(const std::vector<StoreItem>& items, StoreRevision revision);
   void Clear();
   void Apply(const StoreChange& change);
-  // Takes all items, read anew as of `revision`. Returns what has changed from
-  // those that were kept.
+  // Replaces all items by those read as of `revision`. Returns the changes from
+  // the previous items.
   std::vector<StoreChange> Replace(const std::vector<StoreItem>& items,
                                    StoreRevision revision);
   std::size_t bytes() const { return bytes_; }
 
-  // The page that is asked for, of what is known up to `revision`. Its `since`
-  // and `after` differ from those that are asked for if all items have to be
-  // sent instead. Nothing if the asker knows no less.
+  // The page that answers `wanted`, as of `revision`. Its `since` and `after`
+  // differ from those of `wanted` if all items have to be sent instead.
+  // std::nullopt if the requester already knows `revision` or a later one.
   std::optional<FeedNews> PageFor(const FeedNews& wanted,
                                   StoreRevision revision) const;
 
@@ -71,41 +75,42 @@
 
   bool Covers(StoreRevision since, StoreRevision revision) const;
   void AddRemovals(FeedNews& page) const;
-  void AddItems(std::size_t most_bytes, FeedNews& page) const;
+  void AddItems(std::size_t max_bytes, FeedNews& page) const;
 
   std::map<std::string, StoreItem> items_;
-  // Of keys and values.
+  // Bytes of keys and values.
   std::size_t bytes_ = 0;
-  // By rising revision.
+  // In order of revision.
   std::deque<Removal> removed_;
-  // All removals after this one are in `removed_`.
-  StoreRevision removals_from_;
+  // `removed_` holds every removal after this revision.
+  StoreRevision removals_since_;
 };
 
-// What a page did.
+// The effect of a received page.
 enum class PageStep {
-  kPassedOver,  // it doesn't go on from the one before
-  kGoesOn,      // another one follows
-  kComplete,    // it was the last
+  kPassedOver,  // ignored: it doesn't follow the previous page
+  kGoesOn,      // accepted, and another one follows
+  kComplete,    // accepted as the last one
 };
 
 // Collects the pages of one answer.
 class FeedPageReader {
  public:
-  // What to ask for next, where everything up to `known` is known.
+  // The request for the next page, by a router that knows every change up to
+  // `known`.
   FeedNews Next(StoreRevision known) const;
   PageStep Take(const FeedNews& page);
-  // The whole answer, after kComplete: all changes, `since` and `revision`.
+  // The complete answer, after kComplete: all changes, `since` and `revision`.
   FeedNews Finish();
-  // Pages have come, and more are to follow.
-  bool IsUnderWay() const { return under_way_.has_value(); }
-  void Drop() { under_way_.reset(); }
+  // Some pages have been received, and more are to follow.
+  bool IsUnderWay() const { return partial_.has_value(); }
+  void Drop() { partial_.reset(); }
 
  private:
-  bool GoesOn(const FeedNews& page) const;
+  bool Follows(const FeedNews& page) const;
   void DropIfOfEarlierEra(const FeedNews& page);
 
-  std::optional<FeedNews> under_way_;
+  std::optional<FeedNews> partial_;
 };
 
 }  // namespace quaytrack
--- a/relay/own_wait.h
+++ b/relay/own_wait.h
@@ -1,12 +1,12 @@
-// How long a router lets its own wait for changes of the store show what a peer
-// is known to have, before it asks the peer (relay/config_follower.h) or the
-// store again (relay/target_follower.h).
+// How long a router waits for the store to show a change that a peer is known
+// to have, before it requests the change from a peer (relay/config_follower.h,
+// relay/state_feed.h) or asks the store again (relay/target_follower.h).
 //
-// The store usually tells all routers of a change at once, so most questions
-// asked without waiting would be needless. With the second between two signs of
-// life (relay/peer_mesh.h), a router whose wait was swallowed learns of a
-// change within 1.3 s and a round trip. The users' bound for a configuration,
-// and for a target that leaves, is 2 s.
+// The store usually notifies all routers of a change at once, so most requests
+// sent without this delay would be needless. With 1 s between two heartbeats
+// (relay/peer_mesh.h), a router whose own wait was lost learns of a change
+// within 1.3 s and a round trip. The bound is 2 s, both for a configuration and
+// for a target that leaves.
 
 #ifndef QUAYTRACK_RELAY_OWN_WAIT_H_
 #define QUAYTRACK_RELAY_OWN_WAIT_H_
@@ -17,7 +17,6 @@
 
 namespace quaytrack {
 
-// Not measured; it was 200 ms until commit 288b6d2.
 inline constexpr Duration kOwnWaitFirst = std::chrono::milliseconds(300);
 
 }  // namespace quaytrack
--- a/relay/peer_mesh.cc
+++ b/relay/peer_mesh.cc
@@ -11,11 +11,10 @@
 namespace quaytrack {
 namespace {
 
-// The first check comes after a random part of the interval from this to all of
-// it. Not measured alone.
-constexpr double kLeastFirst = 0.5;
-// After this a link counts as cut: three signs of life are missing. Not
-// measured.
+// The first check comes after a random share of the interval, from this to 1.
+constexpr double kMinFirstCheckShare = 0.5;
+// A link without messages for this long counts as cut: three heartbeats are
+// missing.
 constexpr Duration kMaxSilence = std::chrono::milliseconds(3500);
 
 }  // namespace
@@ -36,7 +35,7 @@
 
 Duration PeerMesh::DrawFirstCheck() {
   std::minstd_rand random{std::random_device{}()};
-  return DrawPart(random, kCheckInterval, kLeastFirst, 1);
+  return DrawPart(random, kCheckInterval, kMinFirstCheckShare, 1);
 }
 
 void PeerMesh::CheckFrom(Duration first_check) {
@@ -50,10 +49,10 @@
   return server_.Listen(address);
 }
 
-// --- A link's life -----------------------------------------------------------
+// --- Opening and closing links -----------------------------------------------
 
 void PeerMesh::AddLink(const LinkPtr& it) {
-  it->heard = clock_.Now();
+  it->last_received = clock_.Now();
   links_.insert(it);
   // The link's handlers must not keep it alive.
   const std::weak_ptr<Link> weak = it;
@@ -71,7 +70,7 @@
 }
 
 void PeerMesh::SendHello(const Link& it) {
-  it.link->Send(EncodePeerMessage(SignOfLife(PeerMessageKind::kHello)));
+  it.link->Send(EncodePeerMessage(Heartbeat(PeerMessageKind::kHello)));
 }
 
 void PeerMesh::OnMessage(const LinkPtr& it, const std::string& bytes) {
@@ -80,7 +79,7 @@
     LogEvent(Event::kPeerMessageRefused, {{"peer", it->peer.value}});
     return;
   }
-  it->heard = clock_.Now();
+  it->last_received = clock_.Now();
   if (it->peer.empty()) OnFirstMessage(it, message->from);
   on_.message(*message);
 }
@@ -90,15 +89,16 @@
     LogEvent(Event::kPeerLinked, {{"peer", peer.value}});
   }
   it->peer = peer;
-  CloseLinksToOthersOn(VmOf(peer), peer);
+  CloseLinksToPredecessors(VmOf(peer), peer);
 }
 
-void PeerMesh::CloseLinksToOthersOn(const VmName& vm, const Incarnation& peer) {
-  std::vector<LinkPtr> others;
+void PeerMesh::CloseLinksToPredecessors(const VmName& vm,
+                                        const Incarnation& peer) {
+  std::vector<LinkPtr> predecessors;
   for (const LinkPtr& it : links_) {
-    if (VmOf(it->peer) == vm && it->peer != peer) others.push_back(it);
+    if (VmOf(it->peer) == vm && it->peer != peer) predecessors.push_back(it);
   }
-  for (const LinkPtr& it : others) Close(it);
+  for (const LinkPtr& it : predecessors) Close(it);
 }
 
 void PeerMesh::Close(const LinkPtr& it) {
@@ -108,20 +108,20 @@
 
 void PeerMesh::RemoveLink(const LinkPtr& it) {
   links_.erase(it);
-  // Its own callback may be running.
+  // One of the link's callbacks may be running.
   loop_.Post([it] {});
   if (!it->peer.empty() && FindPeer(it->peer) == nullptr) on_.lost(it->peer);
 }
 
-// --- Which links there are ---------------------------------------------------
+// --- The set of links --------------------------------------------------------
 
 void PeerMesh::KeepLinksTo(const std::vector<FleetMember>& members) {
-  to_keep_ = members;
+  members_to_link_ = members;
   DialMissing();
 }
 
 void PeerMesh::DialMissing() {
-  for (const FleetMember& it : to_keep_) {
+  for (const FleetMember& it : members_to_link_) {
     if (!HasLinkTo(it.vm)) Dial(it);
   }
 }
@@ -143,7 +143,7 @@
   const Instant now = clock_.Now();
   std::vector<LinkPtr> silent;
   for (const LinkPtr& it : links_) {
-    if (now - it->heard > kMaxSilence) silent.push_back(it);
+    if (now - it->last_received > kMaxSilence) silent.push_back(it);
   }
   for (const LinkPtr& it : silent) {
     LogEvent(Event::kPeerLinkLost, {{"peer", it->peer.value}});
@@ -181,7 +181,7 @@
 
 // --- Messages ----------------------------------------------------------------
 
-PeerMessage PeerMesh::SignOfLife(PeerMessageKind kind) const {
+PeerMessage PeerMesh::Heartbeat(PeerMessageKind kind) const {
   PeerMessage out;
   out.kind = kind;
   out.from = self_;
@@ -190,20 +190,20 @@
 }
 
 void PeerMesh::BroadcastSignOfLife() {
-  Broadcast(SignOfLife(PeerMessageKind::kPing));
+  Broadcast(Heartbeat(PeerMessageKind::kPing));
 }
 
 void PeerMesh::Broadcast(const PeerMessage& message) {
   SendWhere([](const VmName&) { return true; }, message);
 }
 
-void PeerMesh::SendWhere(const std::function<bool(const VmName&)>& wanted,
+void PeerMesh::SendWhere(const std::function<bool(const VmName&)>& matches,
                          const PeerMessage& message) {
   const std::string bytes = EncodePeerMessage(message);
   std::set<Incarnation> sent;
   for (const LinkPtr& it : links_) {
     if (it->peer.empty() || !sent.insert(it->peer).second) continue;
-    if (wanted(VmOf(it->peer))) it->link->Send(bytes);
+    if (matches(VmOf(it->peer))) it->link->Send(bytes);
   }
 }
 
--- a/relay/peer_mesh.h
+++ b/relay/peer_mesh.h
@@ -1,4 +1,4 @@
-// PeerMesh keeps the links to other routers, and carries their messages.
+// PeerMesh maintains the links to other routers, and carries their messages.
 //
 //   PeerMesh peers(loop, clock, self, handlers);
 //   peers.Listen("10.0.0.7:8082");
@@ -6,24 +6,25 @@
 //   peers.Broadcast(message);
 //   peers.SendTo(peer, message);      // dropped if the peer isn't linked
 //
-// Whom to dial comes from the list of routers (fleet/fleet.h). The links don't
-// need the store, so they stay up while it is away.
+// The list of routers (fleet/fleet.h) says which routers to dial. The links
+// don't need the store, so they stay up during its outages.
 //
-// Opening a link. Either side may dial, and each first says who it is (hello).
-// If both dial, there are two links between them; a message takes one of them.
-// A VM runs one router, so a hello of another incarnation of a VM ends the
-// links to the one before it: its process has ended.
+// Opening a link. Either side may dial, and the first message of each side
+// names its sender (hello). If both dial, there are two links between them; a
+// message takes one of them. A VM runs one router, so a hello of another
+// incarnation of a VM closes the links to the one before it: its process has
+// ended.
 //
-// Losing a link. A cut says nothing, so a link on which nothing was heard for
-// `kMaxSilence` is closed, and dialled again if it is one to keep. Each router
-// sends a sign of life on all links every `kCheckInterval`, at moments of its
-// own (`DrawFirstCheck`), with the versions that it knows, so that a peer
-// learns of a change even if the store doesn't tell it
+// Losing a link. A cut sends no signal, so a link on which no message arrived
+// for `kMaxSilence` is closed, and dialled again if it is to be kept. Each
+// router sends a heartbeat on all links every `kCheckInterval`, starting at a
+// random moment (`DrawFirstCheck`), with the versions that it knows, so that a
+// peer learns of a change even if the store doesn't notify it
 // (relay/config_follower.h, relay/target_follower.h).
 //
 // It owns the links and the listener. Messages aren't acknowledged and may be
-// lost with a link; who needs an answer asks again. A message that can't be
-// read is dropped with a line in the log. Loop and clock must outlive the mesh.
+// lost with a link; a sender that needs an answer has to retry. A message that
+// can't be decoded is dropped and logged. Loop and clock must outlive the mesh.
 
 #ifndef QUAYTRACK_RELAY_PEER_MESH_H_
 #define QUAYTRACK_RELAY_PEER_MESH_H_
@@ -47,19 +48,20 @@
  public:
   struct Handlers {
     std::function<void(const PeerMessage& message)> message;
-    // Adds what is in force here to a sign of life, and to a hello also where
-    // this router is.
-    std::function<void(PeerMessage& sign)> fill;
-    // The last link to a peer is gone.
+    // Fills in a heartbeat with the state of this router; a hello also gets the
+    // router's address.
+    std::function<void(PeerMessage& heartbeat)> fill;
+    // The last link to a peer has closed.
     std::function<void(const Incarnation& peer)> lost;
   };
 
-  // Between two checks of the links, each with a sign of life. Not measured. It
-  // bounds, with kOwnWaitFirst (relay/own_wait.h), how soon a router whose
-  // store doesn't serve it learns of a configuration: the users allow 2 s.
+  // Interval between two checks of the links, each with a heartbeat. Together
+  // with kOwnWaitFirst (relay/own_wait.h) it bounds how soon a router that the
+  // store doesn't serve learns of a configuration: the limit is 2 s.
   static constexpr Duration kCheckInterval = std::chrono::milliseconds(1000);
-  // A random time to the first check: routers that start together would else
-  // send their signs together, and their peers would hear nothing in between.
+  // A random time to the first check: otherwise routers that start together
+  // would send their heartbeats together, and their peers would receive none in
+  // between.
   static Duration DrawFirstCheck();
 
   PeerMesh(Loop& loop, const Clock& clock, Incarnation self, Handlers handlers,
@@ -67,17 +69,19 @@
 
   // Takes "host:port". Returns the bound port, or 0.
   std::uint16_t Listen(const std::string& address);
-  // Dials those of `members` to whom no link is open, now and whenever one is
-  // lost. Links that others opened stay.
+  // Dials those of `members` to which no link is open, now and whenever a link
+  // is lost. Links that peers opened stay.
   void KeepLinksTo(const std::vector<FleetMember>& members);
-  // To each linked peer once.
+  // Sends `message` to each linked peer once.
   void Broadcast(const PeerMessage& message);
-  // To each linked peer on a VM that `wanted` names, once.
-  void SendWhere(const std::function<bool(const VmName&)>& wanted,
+  // Sends `message` to each linked peer on a VM for which `matches` is true,
+  // once.
+  void SendWhere(const std::function<bool(const VmName&)>& matches,
                  const PeerMessage& message);
-  // To one peer, if it is linked.
+  // Sends `message` to one peer, if it is linked.
   void SendTo(const Incarnation& peer, const PeerMessage& message);
-  // Tells all peers at once what is in force here.
+  // Sends the state of this router to all peers, without waiting for the next
+  // check.
   void BroadcastSignOfLife();
   // The incarnation that is linked on a VM; empty if none is.
   Incarnation LinkedOn(const VmName& vm) const;
@@ -89,10 +93,10 @@
     std::shared_ptr<PeerLink> link;
     // The VM that was dialled; empty if the peer dialled.
     VmName dialled;
-    // Empty until the peer has said who it is.
+    // Empty until the peer's first message.
     Incarnation peer;
-    // When the link was opened or something last came on it.
-    Instant heard{};
+    // When the link was opened or last received a message.
+    Instant last_received{};
   };
   using LinkPtr = std::shared_ptr<Link>;
 
@@ -100,8 +104,8 @@
   void SendHello(const Link& it);
   void OnMessage(const LinkPtr& it, const std::string& bytes);
   void OnFirstMessage(const LinkPtr& it, const Incarnation& peer);
-  void CloseLinksToOthersOn(const VmName& vm, const Incarnation& peer);
-  // A link to the VM is there, or is being opened.
+  void CloseLinksToPredecessors(const VmName& vm, const Incarnation& peer);
+  // Whether a link to the VM is open, or is being opened.
   bool HasLinkTo(const VmName& vm) const;
   void Dial(const FleetMember& member);
   void DialMissing();
@@ -109,10 +113,10 @@
   void CheckLinks();
   void CloseSilent();
   const Link* FindPeer(const Incarnation& peer) const;
-  PeerMessage SignOfLife(PeerMessageKind kind) const;
-  // Ends a link from this side.
+  PeerMessage Heartbeat(PeerMessageKind kind) const;
+  // Closes a link from this side.
   void Close(const LinkPtr& it);
-  // Forgets a link that has ended.
+  // Removes a link that has closed.
   void RemoveLink(const LinkPtr& it);
 
   Loop& loop_;
@@ -120,7 +124,7 @@
   Incarnation self_;
   Handlers on_;
   PeerServer server_;
-  std::vector<FleetMember> to_keep_;
+  std::vector<FleetMember> members_to_link_;
   std::set<LinkPtr> links_;
   std::unique_ptr<Timer> check_timer_;
 };
--- a/relay/peer_messages.cc
+++ b/relay/peer_messages.cc
@@ -11,20 +11,20 @@
 
 using Json = nlohmann::json;
 
-// A line is sent as whole numbers: nanoseconds for a token, microseconds, and
-// answers.
+// A line is sent as three whole numbers: nanoseconds per token, microseconds,
+// and the number of answers.
 constexpr double kTokenTimeUnit = 1e6;
 constexpr double kBaseUnit = 1000;
 constexpr std::size_t kLineFields = 3;
-// Older than this is as old as this; it bounds what a clock is set back by.
-constexpr std::int64_t kLongestAgeMs = 3'600'000;
+// Ages above this are taken as this; it bounds how far a time is set back.
+constexpr std::int64_t kMaxAgeMs = 3'600'000;
 
 Json LineToJson(const SpeedLine& it) {
   return {std::llround(it.ms_per_token * kTokenTimeUnit),
           std::llround(it.base_ms * kBaseUnit), std::llround(it.answers)};
 }
 
-// Nothing if it isn't a list of amounts.
+// std::nullopt if `json` isn't a list of three non-negative whole numbers.
 std::optional<SpeedLine> LineFromJson(const Json& json) {
   if (!json.is_array() || json.size() != kLineFields) return std::nullopt;
   for (const Json& it : json) {
@@ -44,7 +44,7 @@
   return out;
 }
 
-// An age as whole milliseconds, rounded up so that nothing looks newer than it
+// An age as whole milliseconds, rounded up so that it never looks newer than it
 // is.
 std::int64_t AgeToJson(Duration age) {
   return std::chrono::ceil<std::chrono::milliseconds>(age).count();
@@ -52,19 +52,19 @@
 
 Duration AgeFromJson(const Json& json) {
   return std::chrono::milliseconds(
-      std::clamp<std::int64_t>(json.get<std::int64_t>(), 0, kLongestAgeMs));
+      std::clamp<std::int64_t>(json.get<std::int64_t>(), 0, kMaxAgeMs));
 }
 
-// Eras stand after, or beside, the numbers that messages had before there were
-// eras, so that routers without them still read those.
+// An era is sent after, or beside, the number that messages had before there
+// were eras, so that routers of builds without eras can still read the number.
 void AddEra(const StoreRevision& revision, Json& fields) {
   if (revision.era != 0) fields.push_back(revision.era);
 }
 
-StoreRevision RevisionFrom(const Json& fields, std::size_t era_place) {
+StoreRevision RevisionFrom(const Json& fields, std::size_t era_index) {
   StoreRevision out = fields.at(0).get<std::int64_t>();
-  if (fields.size() > era_place) {
-    out.era = fields.at(era_place).get<std::int64_t>();
+  if (fields.size() > era_index) {
+    out.era = fields.at(era_index).get<std::int64_t>();
   }
   return out;
 }
@@ -89,7 +89,7 @@
   return out;
 }
 
-// A state is its revision and whether the hall is closed.
+// A hall's state is sent as its revision and whether the hall is closed.
 Json HallsToJson(const HallStates& halls) {
   Json out = Json::object();
   for (const auto& [hall, it] : halls) {
@@ -129,7 +129,7 @@
   return out;
 }
 
-// A limit is its rate, null if it has ended, its version and its age.
+// A limit is sent as its rate (null if it has ended), its version and its age.
 Json RatesToJson(const RateReports& reports) {
   Json out = Json::object();
   for (const auto& [target, it] : reports) {
@@ -154,7 +154,7 @@
   return out;
 }
 
-// Buckets that have counts, each with its count.
+// The buckets that aren't empty, each as its index and its count.
 Json HistogramToJson(const TimeHistogram& histogram) {
   Json out = Json::array();
   for (std::size_t n = 0; n < TimeHistogram::kBuckets; ++n) {
@@ -172,7 +172,7 @@
   return out;
 }
 
-// A route is its answers, the failed ones, and two histograms.
+// A route is sent as its answers, the failed answers, and two histograms.
 Json RoutesToJson(const RoutesEvidence& routes) {
   Json out = Json::object();
   for (const auto& [route, it] : routes) {
@@ -233,8 +233,9 @@
   return out;
 }
 
-// A change is its key, its revision and, unless it removed the item, its value.
-Json NewsToJson(const FeedNews& news) {
+// A change is sent as its key, its revision and, unless it is a removal, its
+// value.
+Json UpdateToJson(const FeedNews& news) {
   Json changes = Json::array();
   for (const StoreChange& it : news.changes) {
     Json fields = {it.item.key, it.item.revision.number};
@@ -252,8 +253,8 @@
   return out;
 }
 
-// Empty for a feed that isn't known.
-std::optional<FeedNews> NewsFromJson(const Json& json) {
+// std::nullopt for an unknown feed.
+std::optional<FeedNews> UpdateFromJson(const Json& json) {
   const auto feed = FromName<FeedName>(json.at("feed").get<std::string>());
   if (!feed) return std::nullopt;
   FeedNews out;
@@ -270,7 +271,7 @@
   for (const Json& it : json.at("changes")) {
     StoreChange change;
     change.item.key = it.at(0).get<std::string>();
-    // Whatever changed is known by the era of the reading.
+    // All revisions of a message are of the era of its `revision`.
     change.item.revision = {out.revision.era, it.at(1).get<std::int64_t>()};
     change.removed = it.size() == 2;
     if (!change.removed) change.item.value = it.at(2).get<std::string>();
@@ -279,12 +280,12 @@
   return out;
 }
 
-bool CarriesNews(PeerMessageKind kind) {
+bool CarriesUpdate(PeerMessageKind kind) {
   return kind == PeerMessageKind::kNews || kind == PeerMessageKind::kState ||
          kind == PeerMessageKind::kStateWanted;
 }
 
-// Empty for a kind or a feed that isn't known.
+// std::nullopt for an unknown kind or feed.
 std::optional<PeerMessage> FromJson(const Json& json) {
   const auto kind = FromName<PeerMessageKind>(json.value("kind", ""));
   if (!kind) return std::nullopt;
@@ -312,8 +313,8 @@
   out.leaving = LeavingFromJson(json.value("leaving", Json::object()));
   out.rate_limits = RatesFromJson(json.value("rates", Json::object()));
   out.rollouts = RolloutsFromJson(json.value("rollouts", Json::object()));
-  if (CarriesNews(*kind)) {
-    auto news = NewsFromJson(json.at("news"));
+  if (CarriesUpdate(*kind)) {
+    auto news = UpdateFromJson(json.at("news"));
     if (!news) return std::nullopt;
     out.news = std::move(*news);
   }
@@ -365,7 +366,7 @@
   if (!message.rollouts.empty()) {
     json["rollouts"] = RolloutsToJson(message.rollouts);
   }
-  if (CarriesNews(message.kind)) json["news"] = NewsToJson(message.news);
+  if (CarriesUpdate(message.kind)) json["news"] = UpdateToJson(message.news);
   if (message.kind == PeerMessageKind::kPromptSent) {
     json["target"] = message.target.value;
   }
--- a/relay/peer_messages.h
+++ b/relay/peer_messages.h
@@ -1,4 +1,4 @@
-// What routers tell each other, as CBOR in websocket messages.
+// The messages between routers, as CBOR in websocket messages.
 //
 //   PeerMessage out;
 //   out.kind = PeerMessageKind::kHoldWanted;
@@ -6,12 +6,12 @@
 //   if (auto in = DecodePeerMessage(bytes)) switch (in->kind) {...}
 //
 // One type holds the fields of all kinds; a comment says which kinds use which.
-// A field that is absent has the value that it is initialized with here, and
-// fields and kinds that aren't known are skipped, so that routers of different
-// builds understand each other. The names on the wire are older than those of
-// the code: the table below and FromJson map them.
+// An absent field has the value that it is initialized with here, and unknown
+// fields and kinds are skipped, so that routers of different builds understand
+// each other. The names on the wire are older than those of the code: the table
+// below and FromJson map them.
 //
-// Units: tokens. Any message may be lost; none is answered by the link itself.
+// Units: tokens. Any message may be lost; the link itself answers none.
 
 #ifndef QUAYTRACK_RELAY_PEER_MESSAGES_H_
 #define QUAYTRACK_RELAY_PEER_MESSAGES_H_
@@ -34,22 +34,23 @@
 namespace quaytrack {
 
 enum class PeerMessageKind {
-  kHello,           // who is at this end
-  kPing,            // nothing but a sign of life, with the version in force
-  kTransferWanted,  // transfer some of your grant of a customer's budget to me
-  kTransfer,        // running total of what I have transferred to you
-  kHoldWanted,      // hold so much of a customer's budget for a request
-  kHoldAnswer,      // whether it is held
-  kSettle,          // what the request has cost
-  kSettled,         // the cost is counted
-  kPromptSent,      // an engine was sent a prompt that keeps it busy
-  kConfigWanted,    // send me the configuration
+  kHello,           // identifies the sender
+  kPing,            // a heartbeat, with the version in force
+  kTransferWanted,  // requests a transfer of unused grant of a customer's
+                    // budget
+  kTransfer,        // running total of what the sender has transferred
+  kHoldWanted,      // requests a hold on a customer's budget for a request
+  kHoldAnswer,      // the answer to a hold request
+  kSettle,          // the cost of a request that was held
+  kSettled,         // acknowledges a kSettle
+  kPromptSent,      // a prompt was sent that keeps its engine busy
+  kConfigWanted,    // requests the configuration
   kConfig,          // the configuration, as the store has it
-  kNews,            // changes that a reader of the store has seen
-  kStateWanted,     // send me what has changed of a feed, or all of it
-  kState,           // a page of that
-  kCrashes,         // crashes of targets that the sender has seen
-  kRateLimits,      // what targets say of their rate limits
+  kNews,            // changes that a reader has received from the store
+  kStateWanted,     // requests the changes of a feed, or all of its items
+  kState,           // a page of the answer
+  kCrashes,         // crashes of targets that the sender observed
+  kRateLimits,      // rate limits that targets have announced
 };
 
 template <>
@@ -76,9 +77,9 @@
 // A holder's answer to kHoldWanted.
 enum class HoldAnswer {
   kHeld,
-  kShort,      // what this holder can reach doesn't hold it
-  kExhausted,  // the budget doesn't hold it
-  kElsewhere,  // this router keeps no budgets, or no longer: ask another
+  kShort,      // the grants within this holder's reach are too small
+  kExhausted,  // the budget is too small
+  kElsewhere,  // this router keeps no grants, or no longer: try another
 };
 
 template <>
@@ -95,57 +96,58 @@
   Incarnation from;
   // kTransferWanted, kTransfer, kHoldWanted.
   CustomerName customer;
-  // The same kinds: what is wanted, the running total, the worst case. kSettle:
-  // the cost. kPromptSent: what is to be prefilled.
+  // The same kinds: the amount requested, the running total, the worst case.
+  // kSettle: the cost. kPromptSent: the tokens to be prefilled.
   Tokens amount = 0;
-  // kTransferWanted: everything idle may go; otherwise half is kept.
+  // kTransferWanted: the peer may transfer all its unused grant; otherwise it
+  // keeps half.
   bool all = false;
   // kHoldWanted, kHoldAnswer, kSettle, kSettled.
   RequestId request;
   HoldAnswer answer = HoldAnswer::kElsewhere;
-  // kHello: where the sender is.
+  // kHello: the sender's hall and the address that it listens on.
   HallName hall;
   std::string address;
-  // kHello: fleet/fleet.h.
+  // kHello: the size class of fleet/fleet.h.
   int size_class = 0;
-  // kHello, kPing: the configuration in force at the sender, and whether it
-  // keeps grants of prepaid budgets.
+  // kHello, kPing: the version of the configuration in force at the sender, and
+  // whether the sender keeps grants of prepaid budgets.
   std::uint64_t config_version = 0;
   bool keeps_budgets = false;
   // Revision of the latest change of the list of targets that the sender knows.
   StoreRevision targets_revision;
   // kHello, kPing: the latest era of the store that the sender has seen.
   std::int64_t store_era = 0;
-  // kHello, kPing: how fast the engines of each service prefill, as the sender
+  // kHello, kPing: the prefill speed of each service's engines, as the sender
   // has learned it.
   std::map<ServiceName, SpeedLine> engine_speeds;
-  // kHello, kPing: what the sender knows of each feed, if it is a reader; and
-  // how many routers are on its list.
+  // kHello, kPing: if the sender is a reader, its mark of each feed and the
+  // number of routers on its list.
   std::map<FeedName, FeedMark> marks;
   std::uint64_t routers = 0;
-  // kHello, kPing, kConfig: the halls that operators have closed, or have
-  // opened again, as the sender knows them.
+  // kHello, kPing, kConfig: the halls that operators have closed or reopened,
+  // as the sender knows them.
   HallStates halls;
-  // kHello, kPing: targets that have said that they leave, though their entries
-  // at the sender don't.
+  // kHello, kPing: targets that have announced that they leave, while their
+  // entries at the sender don't show it.
   LeavingStarts leaving;
-  // kHello: all that the sender knows; kRateLimits: what is new.
+  // kHello: all rate limits that the sender knows; kRateLimits: the new ones.
   RateReports rate_limits;
-  // kHello, kPing: what the sender knows of services that move to another
+  // kHello, kPing: the sender's reports on services that move to another
   // version.
   std::map<ServiceName, RolloutReport> rollouts;
   // kNews, kState; kStateWanted has no changes.
   FeedNews news;
   // kPromptSent: the engine.
   TargetName target;
-  // kConfig, kCrashes: key and value of the store's item; of the second only
-  // what is new in it.
+  // kConfig, kCrashes: key and value of the store's item; for kCrashes the
+  // value holds only the new crashes.
   std::string item_key;
   std::string item_value;
 };
 
 std::string EncodePeerMessage(const PeerMessage& message);
-// Empty when `bytes` is no message.
+// std::nullopt if `bytes` is no valid message.
 std::optional<PeerMessage> DecodePeerMessage(std::string_view bytes);
 
 }  // namespace quaytrack
--- a/relay/state_feed.cc
+++ b/relay/state_feed.cc
@@ -14,63 +14,68 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-// Up to so much longer, drawn by each router once: when all lose their readers
-// or the store at the same moment, they don't all call at once. Not measured.
+// Added to the time without heartbeats: a random time up to this, drawn once by
+// each router, so that routers that lose their readers or the store at the same
+// moment don't all call at once.
 constexpr Duration kFreshSpread = milliseconds(300);
-// A sign no older than this ends a router's own calls. Less than `kFreshFor`,
-// so that routers don't go to and fro. Not measured.
-constexpr Duration kFreshAgain = milliseconds(1000);
-
-// Added to each age that a peer tells, since the time on the way isn't in it.
-// Fifteen readers that pass an age on from one to the next, each sending once a
-// second, make it younger by fifteen times what a message takes; with this much
-// added for each, it grows unless a message takes longer. Links of a fleet take
-// some milliseconds. Not measured.
-constexpr Duration kOnTheWay = milliseconds(100);
-
-// All readers of a fleet whose holders don't call the store together ask it
-// about so often. Of five readers that a router is linked to, the youngest sign
-// is then younger than `kFreshAgain` nearly always. With 130 ms, and waits and
-// signs in step after a common start, 280 routers went to and fro between being
-// told and reading every two seconds: 18,400 calls in a day of 48 s.
-constexpr Duration kAskEvery = milliseconds(80);
-// Bounds for one reader's wait: a call takes some milliseconds, and a wait that
-// was swallowed has to be noticed within the users' 3 s. Not measured.
-constexpr Duration kShortestPatience = milliseconds(500);
-constexpr Duration kLongestPatience = milliseconds(2000);
-// Each wait is drawn from between this part of it and all of it, so that
-// readers that started together don't ask together. Not measured.
-constexpr double kLeastPatience = 0.5;
-// Other calls answered as recently as this make short waits needless.
-constexpr Duration kAnsweredLately = milliseconds(500);
-
-// Pauses between calls that fail. Readers keep trying, as all depend on them.
-// The others are many and will be told: with a first pause of 500 ms, 280 of
-// them made 3,400 calls around a cut of 8 s.
+// A heartbeat whose age is at most this ends a router's own calls. It is less
+// than `kFreshFor`, so that routers don't switch back and forth.
+constexpr Duration kMaxHeartbeatAge = milliseconds(1000);
+
+// Added to each age in a peer's message, as the age doesn't include the
+// transit. When fifteen readers pass an age on to each other, each sending once
+// a second, an age without this addition would come out younger by fifteen
+// transit times. With it the age grows unless a message takes longer; links of
+// a fleet take some milliseconds.
+constexpr Duration kTransitTime = milliseconds(100);
+
+// The interval at which all readers of a fleet together call the store if
+// holders don't. Of the five readers that a router is linked to, the latest
+// heartbeat then nearly always shows an age below `kMaxHeartbeatAge`. With 130
+// ms, and waits and heartbeats in step after a common start, 280 routers
+// switched between receiving and reading every two seconds: 18,400 calls in a
+// day of 48 s.
+constexpr Duration kFleetCallInterval = milliseconds(80);
+// Bounds for one reader's wait. The lower one is long beside a call, which
+// takes some milliseconds; by the upper one a lost wait is noticed within the
+// limit of 3 s.
+constexpr Duration kMinWaitTimeout = milliseconds(500);
+constexpr Duration kMaxWaitTimeout = milliseconds(2000);
+// Each wait lasts a random share of its length, from this to 1, so that readers
+// that started together don't call together.
+constexpr double kMinTimeoutShare = 0.5;
+// While the store has answered other calls within this time, short waits are
+// needless.
+constexpr Duration kRecentAnswer = milliseconds(500);
+
+// Pauses between calls that fail. Readers retry often, as all routers depend on
+// them. The other routers are many and will be notified by readers: with a
+// first pause of 500 ms, 280 of them made 3,400 calls around a cut of 8 s.
 constexpr Duration kReaderRetry = milliseconds(250);
 constexpr Duration kFirstRetry = milliseconds(2000);
-constexpr Duration kLongestRetry = milliseconds(4000);
-
-// Values of more bytes together aren't sent unasked. Each router is told by
-// several readers and asks only one of them, and a configuration may be large:
-// at 100 kB, telling 60 routers three times takes a link of 20 Mbit/s 7 s for
-// each reader, and once 0.8 s. Reckoned, not measured.
-constexpr std::size_t kMostUnasked = 8 * 1024;
-// But a round trip for some dozen changes in a long list costs more than it
-// saves, so changes are sent unasked up to this part of all items, and up to
-// `kMostInOneMessage`.
-constexpr std::size_t kPartOfAll = 4;
-// Each reader of a hall sends this to all its routers; what is asked for comes
-// from one of them.
-constexpr std::size_t kMostInOneMessage = 32 * 1024;
-// After so long another reader is asked, and after twice that the next. Who is
-// slow to answer is likely to have many that ask.
-constexpr Duration kAskAgainAfter = milliseconds(300);
-constexpr Duration kLongestAskPatience = milliseconds(2400);
-
-Duration ReaderPatience(std::size_t readers) {
-  const Duration wanted = kAskEvery * static_cast<int>(readers);
-  return std::clamp(wanted, kShortestPatience, kLongestPatience);
+constexpr Duration kMaxRetry = milliseconds(4000);
+
+// Changes of up to this many bytes of values are always sent without a request.
+// Each router is notified by several readers but sends a request to only one of
+// them, and a configuration may be large: sending 100 kB to 60 routers takes a
+// reader's link of 20 Mbit/s 7 s if sent three times, and 0.8 s if sent once.
+constexpr std::size_t kAlwaysSentBytes = 8 * 1024;
+// Larger changes are also sent without a request if all items are at least this
+// many times as large, and up to `kMaxUnrequestedBytes`: for some dozen changes
+// in a long list, a round trip costs more than it saves.
+constexpr std::size_t kMinItemsToChangesRatio = 4;
+// The limit is on what each reader of a hall sends to all its routers; the
+// answer to a request comes from one reader only.
+constexpr std::size_t kMaxUnrequestedBytes = 32 * 1024;
+// A request without an answer goes to another reader after this time, and to
+// the next one after twice as long. A reader that is slow to answer is likely
+// to have many requests.
+constexpr Duration kFirstRequestTimeout = milliseconds(300);
+constexpr Duration kMaxRequestTimeout = milliseconds(2400);
+
+Duration ReaderWaitTimeout(std::size_t readers) {
+  const Duration timeout = kFleetCallInterval * static_cast<int>(readers);
+  return std::clamp(timeout, kMinWaitTimeout, kMaxWaitTimeout);
 }
 
 std::size_t BytesOf(const std::vector<StoreChange>& changes) {
@@ -91,15 +96,15 @@
                 FollowerHandlers()),
       machine_(context.chart),
       current_at_(context.clock.Now()),
-      patience_(options_.fresh_for + DrawPart(random_, kFreshSpread, 0, 1)) {}
+      fresh_for_(options_.fresh_for + DrawPart(random_, kFreshSpread, 0, 1)) {}
 
 void StateFeed::StartFromReaders(Duration within) {
-  if (KnowsAny() || IsReader()) return;
+  if (HasState() || IsReader()) return;
   WaitForReaders(within);
 }
 
-// Whoever has items and was not shown since that they are current follows the
-// store from there.
+// A router that has items, and has not been shown to be current since, follows
+// the store from there.
 void StateFeed::WaitForReaders(Duration within) {
   start_timer_ = context_.loop.After(within, [this, within] {
     start_timer_.reset();
@@ -109,7 +114,7 @@
   });
 }
 
-// --- What the store shows ----------------------------------------------------
+// --- Results of the store ----------------------------------------------------
 
 StoreFollower::Handlers StateFeed::FollowerHandlers() {
   StoreFollower::Handlers on;
@@ -122,22 +127,22 @@
 }
 
 void StateFeed::OnAnswered() {
-  ShownCurrent(Duration::zero());
+  MarkCurrent(Duration::zero());
   links_.store_answered(*this);
-  if (IsReader()) follower_.SetPatience(NextPatience());
+  if (IsReader()) follower_.SetPatience(NextWaitTimeout());
 }
 
-Duration StateFeed::NextPatience() {
+Duration StateFeed::NextWaitTimeout() {
   const Instant now = context_.clock.Now();
-  const bool busy = now - store_answered_at_ < kAnsweredLately;
-  return DrawPart(random_, busy ? kLongestPatience : ReaderPatience(readers_),
-                  kLeastPatience, 1);
+  const bool busy = now - store_answered_at_ < kRecentAnswer;
+  return DrawPart(random_, busy ? kMaxWaitTimeout : ReaderWaitTimeout(readers_),
+                  kMinTimeoutShare, 1);
 }
 
 void StateFeed::OnStoreAnswered() {
   store_answered_at_ = context_.clock.Now();
   if (!IsOfPresentEra(Known())) return;
-  if (IsReader() && !lost_ && follower_.IsWaiting()) {
+  if (IsReader() && !store_lost_ && follower_.IsWaiting()) {
     current_at_ = store_answered_at_;
   }
 }
@@ -153,19 +158,19 @@
 }
 
 void StateFeed::OnChange(const StoreChange& change) {
-  if (IsReader()) Keep(change);
+  if (IsReader()) RecordChange(change);
   on_.changed(change);
 }
 
 void StateFeed::Settle() {
   on_.settled();
-  TellPending();
-  told_up_to_ = LatestKnown();
+  SendPending();
+  announced_revision_ = LatestKnown();
 }
 
 void StateFeed::SetLost(bool lost) {
-  if (lost == lost_) return;
-  lost_ = lost;
+  if (lost == store_lost_) return;
+  store_lost_ = lost;
   on_.reachable(!lost);
 }
 
@@ -177,7 +182,7 @@
 }
 
 void StateFeed::Check() {
-  if (state() == FeedState::kTold && Age() > patience_) {
+  if (state() == FeedState::kTold && Age() > fresh_for_) {
     Apply(FeedEvent::kStale);
   }
 }
@@ -203,36 +208,36 @@
       return follower_.Pause();
     case FeedAction::kCallAgain:
       SetLost(true);
-      follower_.SetRetry(kFirstRetry, kLongestRetry);
+      follower_.SetRetry(kFirstRetry, kMaxRetry);
       return follower_.Resume();
     case FeedAction::kReadForAll:
-      follower_.SetPatience(NextPatience());
+      follower_.SetPatience(NextWaitTimeout());
       follower_.SetRetry(kReaderRetry, kReaderRetry);
       return follower_.ReadAgain();
     case FeedAction::kReadForItself:
       has_items_ = false;
       items_.Clear();
       follower_.SetPatience(options_.follower.patience);
-      return follower_.SetRetry(kFirstRetry, kLongestRetry);
+      return follower_.SetRetry(kFirstRetry, kMaxRetry);
   }
 }
 
-// --- What readers show -------------------------------------------------------
+// --- Messages from readers ---------------------------------------------------
 
 void StateFeed::OnPeer(const PeerMessage& message) {
   const auto mark = message.marks.find(options_.name);
-  // The lists of two routers may differ for a while, so a mark of one that
-  // isn't known as a reader is no fault, and says nothing.
+  // The lists of two routers may differ for a while, so a mark of a router that
+  // isn't known as a reader is no fault, and is ignored.
   if (mark != message.marks.end() && links_.is_reader(message.from)) {
     OnMark(mark->second);
   }
   if (message.news.feed != options_.name) return;
   switch (message.kind) {
     case PeerMessageKind::kNews:
-      if (IsSound(message)) OnNews(message.news);
+      if (IsValid(message)) OnUpdate(message.news);
       return;
     case PeerMessageKind::kState:
-      if (IsSound(message)) OnState(message.news);
+      if (IsValid(message)) OnState(message.news);
       return;
     case PeerMessageKind::kStateWanted:
       return SendState(message.from, message.news);
@@ -241,7 +246,7 @@
   }
 }
 
-bool StateFeed::IsSound(const PeerMessage& message) const {
+bool StateFeed::IsValid(const PeerMessage& message) const {
   const FeedNews& news = message.news;
   const auto in_span = [&](const StoreChange& it) {
     return it.item.revision <= news.revision;
@@ -250,9 +255,9 @@
   if (!links_.is_reader(message.from)) {
     problem = "not from a reader";
   } else if (news.since < StoreRevision() || news.since >= news.revision) {
-    problem = "revisions that can't be";
+    problem = "revisions out of order";
   } else if (!std::all_of(news.changes.begin(), news.changes.end(), in_span)) {
-    problem = "a change beyond its revision";
+    problem = "a change after the update's revision";
   }
   if (problem == nullptr) return true;
   LogEvent(Event::kFeedNewsRefused,
@@ -263,28 +268,29 @@
 }
 
 void StateFeed::OnMark(const FeedMark& mark) {
-  // Nothing is known here yet, so the reader's latest change says nothing.
-  if (start_timer_ && !KnowsAny()) return OnBehind(1);
+  // This router has no state yet, so it is behind whatever the reader's
+  // revision.
+  if (start_timer_ && !HasState()) return OnBehind(1);
   if (!HasRead(mark.revision)) return OnBehind(mark.revision);
   if (!IsOfPresentEra(mark.revision)) return;
-  ShownByReader(mark.age);
+  MarkCurrentByReader(mark.age);
 }
 
-void StateFeed::OnNews(const FeedNews& news) {
+void StateFeed::OnUpdate(const FeedNews& news) {
   if (news.revision <= Known()) return OnMark({news.revision, news.age});
-  // The read that is under way shows all of it.
+  // The read in progress shows all of these changes.
   if (IsReader() && !has_items_) return;
   const bool leads_on =
       news.since <= Known() && news.since.era == news.revision.era;
   if (news.only_notice || !leads_on) return OnBehind(news.revision);
-  // An outage is over before what it removed is handed out.
-  ShownCurrent(news.age + kOnTheWay);
-  TakeChanges(news);
-  ShownByReader(news.age);
+  // The end of an outage is reported before the removals made during it.
+  MarkCurrent(news.age + kTransitTime);
+  ApplyChanges(news);
+  MarkCurrentByReader(news.age);
 }
 
-// Of changes that two readers tell in different batches, some may be known.
-void StateFeed::TakeChanges(const FeedNews& news) {
+// Two readers may batch the same changes differently, so some may be known.
+void StateFeed::ApplyChanges(const FeedNews& news) {
   const StoreRevision known = Known();
   StoreRevision latest(news.revision.era, 0);
   for (const StoreChange& it : news.changes) {
@@ -307,20 +313,20 @@
   pages_shown_at_ = begins ? shown_at : std::min(pages_shown_at_, shown_at);
   const PageStep step = pages_.Take(news);
   if (step == PageStep::kPassedOver) return;
-  ask_patience_ = kAskAgainAfter;
-  if (step == PageStep::kComplete) TakeState(pages_.Finish());
-  behind_timer_.reset();
-  if (HasRead(behind_)) return pages_.Drop();
-  AskReader();
+  request_timeout_ = kFirstRequestTimeout;
+  if (step == PageStep::kComplete) ApplyState(pages_.Finish());
+  request_timer_.reset();
+  if (HasRead(peer_revision_)) return pages_.Drop();
+  RequestState();
 }
 
-void StateFeed::TakeState(FeedNews news) {
+void StateFeed::ApplyState(FeedNews news) {
   if (news.revision <= Known()) return;
   news.age = context_.clock.Now() - pages_shown_at_;
-  ShownCurrent(news.age + kOnTheWay);
+  MarkCurrent(news.age + kTransitTime);
   if (news.since != StoreRevision()) {
-    TakeChanges(news);
-    return ShownByReader(news.age);
+    ApplyChanges(news);
+    return MarkCurrentByReader(news.age);
   }
   std::vector<StoreItem> items;
   StoreRevision latest(news.revision.era, 0);
@@ -331,20 +337,21 @@
   follower_.SkipTo(news.revision, latest);
   OnItems(items);
   Settle();
-  ShownByReader(news.age);
+  MarkCurrentByReader(news.age);
 }
 
-// It is shown that nothing had changed `age` ago that isn't known here, or is
-// handed out next.
-void StateFeed::ShownCurrent(Duration age) {
+// Every change made up to `age` ago is known here, or is about to be passed to
+// the handlers.
+void StateFeed::MarkCurrent(Duration age) {
   current_at_ = std::max(current_at_, context_.clock.Now() - age);
-  if (age <= kFreshAgain) SetLost(false);
+  if (age <= kMaxHeartbeatAge) SetLost(false);
 }
 
-// A reader has shown it, so this router needs no calls of its own.
-void StateFeed::ShownByReader(Duration age) {
-  ShownCurrent(age + kOnTheWay);
-  if (age <= kFreshAgain && KnowsAny()) Apply(FeedEvent::kToldFresh);
+// A reader has shown that this router is current, so it needs no calls of its
+// own.
+void StateFeed::MarkCurrentByReader(Duration age) {
+  MarkCurrent(age + kTransitTime);
+  if (age <= kMaxHeartbeatAge && HasState()) Apply(FeedEvent::kToldFresh);
 }
 
 std::optional<FeedMark> StateFeed::Mark() const {
@@ -354,35 +361,36 @@
 
 // --- Readers -----------------------------------------------------------------
 
-void StateFeed::Keep(const StoreChange& change) {
+void StateFeed::RecordChange(const StoreChange& change) {
   items_.Apply(change);
   pending_.push_back(change);
 }
 
-void StateFeed::TellPending() {
+void StateFeed::SendPending() {
   const std::vector<StoreChange> changes = std::exchange(pending_, {});
   if (changes.empty() || !IsReader()) return;
   PeerMessage out;
   out.kind = PeerMessageKind::kNews;
   out.news.feed = options_.name;
-  out.news.since = told_up_to_;
+  out.news.since = announced_revision_;
   out.news.revision = Known();
   out.news.age = Age();
-  const bool leads_on = told_up_to_.era == Known().era;
-  out.news.only_notice = !leads_on || IsCheaperAsked(BytesOf(changes));
+  const bool leads_on = announced_revision_.era == Known().era;
+  out.news.only_notice = !leads_on || ShouldOnlyAnnounce(BytesOf(changes));
   if (!out.news.only_notice) out.news.changes = changes;
   links_.tell(std::move(out));
 }
 
-bool StateFeed::IsCheaperAsked(std::size_t bytes) const {
-  if (bytes <= kMostUnasked) return false;
-  return bytes > kMostInOneMessage || bytes > items_.bytes() / kPartOfAll;
+bool StateFeed::ShouldOnlyAnnounce(std::size_t bytes) const {
+  if (bytes <= kAlwaysSentBytes) return false;
+  return bytes > kMaxUnrequestedBytes ||
+         bytes > items_.bytes() / kMinItemsToChangesRatio;
 }
 
 void StateFeed::SendState(const Incarnation& peer, const FeedNews& wanted) {
   if (!IsReader() || !has_items_) return;
-  // An item of a list that was read in pages may be of a later change, of which
-  // the next wait tells at once.
+  // An item of a list that was read in pages may be of a later change than
+  // `Known`; the next wait reports that change at once.
   if (Known() < follower_.latest_change()) return;
   auto page = items_.PageFor(wanted, Known());
   if (!page) return;
@@ -397,45 +405,45 @@
 // --- Routers that are behind -------------------------------------------------
 
 void StateFeed::OnBehind(StoreRevision revision) {
-  behind_ = std::max(behind_, revision);
-  if (behind_timer_) return;
-  ask_patience_ = kAskAgainAfter;
-  if (state() == FeedState::kTold || start_timer_) return AskReader();
-  behind_timer_ = context_.loop.After(kOwnWaitFirst, [this] {
-    behind_timer_.reset();
-    if (HasRead(behind_)) return;
-    AskFor(behind_);
-    AskReader();
+  peer_revision_ = std::max(peer_revision_, revision);
+  if (request_timer_) return;
+  request_timeout_ = kFirstRequestTimeout;
+  if (state() == FeedState::kTold || start_timer_) return RequestState();
+  request_timer_ = context_.loop.After(kOwnWaitFirst, [this] {
+    request_timer_.reset();
+    if (HasRead(peer_revision_)) return;
+    AskFor(peer_revision_);
+    RequestState();
   });
 }
 
-void StateFeed::AskReader() {
+void StateFeed::RequestState() {
   const std::vector<Incarnation> readers = links_.readers();
   if (readers.empty()) return;
   PeerMessage out;
   out.kind = PeerMessageKind::kStateWanted;
   out.news = pages_.Next(Known());
   out.news.feed = options_.name;
-  links_.send(readers[asked_ % readers.size()], std::move(out));
-  behind_timer_ = context_.loop.After(ask_patience_, [this] {
-    behind_timer_.reset();
-    if (HasRead(behind_)) return pages_.Drop();
-    AskNextReader();
+  links_.send(readers[reader_index_ % readers.size()], std::move(out));
+  request_timer_ = context_.loop.After(request_timeout_, [this] {
+    request_timer_.reset();
+    if (HasRead(peer_revision_)) return pages_.Drop();
+    RequestFromNextReader();
   });
 }
 
-void StateFeed::AskNextReader() {
-  ++asked_;
-  ask_patience_ = std::min(ask_patience_ * 2, kLongestAskPatience);
-  AskReader();
+void StateFeed::RequestFromNextReader() {
+  ++reader_index_;
+  request_timeout_ = std::min(request_timeout_ * 2, kMaxRequestTimeout);
+  RequestState();
 }
 
 void StateFeed::AskAgain() {
   if (state() != FeedState::kTold) follower_.AskAgain();
 }
 
-// A wait from a revision of an earlier era may be held although much has
-// changed.
+// The store may hold a wait that starts at a revision of an earlier era even
+// though much has changed.
 void StateFeed::AskFor(StoreRevision revision) {
   if (revision.era == Known().era) return AskAgain();
   if (state() != FeedState::kTold) follower_.ReadAgain();
--- a/relay/state_feed.h
+++ b/relay/state_feed.h
@@ -1,63 +1,63 @@
-// StateFeed keeps one prefix of the store known to this router, with few calls
-// of the whole fleet.
+// StateFeed keeps this router's copy of one prefix of the store up to date,
+// with few calls of the fleet as a whole.
 //
 //   StateFeed feed(context, options, handlers, links);
 //   feed.Start();
 //   feed.SetRole(fleet.IsReader(self), fleet.readers());
 //   feed.OnPeer(message);                  // each message of a peer
-//   feed.Check();                          // some times a second
-//   sign.marks[options.name] = *feed.Mark();
+//   feed.Check();                          // several times a second
+//   heartbeat.marks[options.name] = *feed.Mark();
 //
 // In a small fleet each router follows the store itself (kv/follower.h). In a
-// larger one that costs a call of each router for every change, and one for
-// every wait that ends without: 295 routers made 11,000 to 30,000 calls in a
-// day of 48 s, most of them for this. So a few routers of each hall are its
-// **readers**. They are the holders of the hall (fleet/fleet.h), who follow
-// from the list of routers; nobody is appointed, and the links are there.
-// Readers follow the store and tell their hall and each other. The others make
-// no calls while they are told. The states are chart/charts/feed.json.
+// larger one this costs a call of each router for every change, and one for
+// every wait that ends without a change: 295 routers made 11,000 to 30,000
+// calls in a day of 48 s, most of them for this. So a few routers of each hall
+// are its **readers**: the holders of the hall (fleet/fleet.h). They follow
+// from the list of routers, so none has to be appointed, and the other routers
+// are already linked to them. Readers follow the store and send its changes to
+// their hall and to each other. The other routers make no calls while they
+// receive them. The states are in chart/charts/feed.json.
 //
-// The store stays the only truth. News carry the store's revisions, and take
-// effect only if they lead on from what is known here; whoever has missed some
-// asks a reader for what has changed since, page by page (relay/feed_pages.h).
-// What is older than what is known is passed over, whoever shows it, so nothing
-// ever goes back.
+// The store remains the only authority. Updates carry the store's revisions and
+// take effect only if they start at or before the revision that is known here;
+// a router that has missed an update requests from a reader what has changed
+// since, page by page (relay/feed_pages.h). Anything older than what is known
+// is ignored, whichever router sends it, so the state never goes back.
 //
 // A store that has come back from an older copy of itself (kv/store.h) is in a
-// later era. Whoever calls it reads all anew as soon as any answer shows that.
-// Readers announce the later era and send all items to who asks; what is told
-// of an earlier era than is known here shows nothing, not even that nothing has
-// changed.
+// later era. A router that calls the store reads everything again as soon as
+// any answer shows the later era. Readers announce the later era and send all
+// items on request. A message of an earlier era than the known one shows
+// nothing, not even that nothing has changed.
 //
-// No rule depends on a reader's life. A router is told that nothing has
-// changed, as well as what has: each sign of life of a reader carries the age
-// of its knowledge (`FeedMark`), the least of what the store and the other
-// readers have shown it, and something for the way (`kOnTheWay`), so that
-// readers without the store can't keep each other current. A router that has
-// not been shown for `kFreshFor` that
-// it is current calls the store itself from then on, until a reader is current
-// again. So a reader that is dead, frozen, cut off on either side or slow holds
-// nobody back for longer, and one that is behind turns nobody back. With the
-// call's own time a router that reaches the store knows each change after at
-// most kFreshFor + kFreshSpread + the interval of `Check`, about 2 s.
+// No rule depends on a reader staying alive. Routers are notified that nothing
+// has changed, as well as of changes: each heartbeat of a reader carries the
+// age of its knowledge (`FeedMark`). The age is the lowest of those that the
+// store and the other readers have shown, plus `kTransitTime` for the transit,
+// so that readers without the store can't keep each other current. A router
+// that wasn't shown for `kFreshFor` that it is current calls the store itself
+// from then on, until a reader is current again. So a reader that is dead,
+// frozen, cut off on either side or slow delays no router for longer, and a
+// reader that is behind sets no router back. Including the time of the call, a
+// router that reaches the store knows each change after at most kFreshFor +
+// kFreshSpread + the interval of `Check`, about 2 s.
 //
-// What shows a reader that it is current: the store has answered, while a wait
-// for changes is under way that it would have answered before. Any call's
-// answer counts, that of another feed's wait among them, as holders call the
-// store all the time for the budgets. Where they don't, readers end their waits
-// often enough that together they ask about once in `kAskEvery`, however many
-// they are, so that the calls don't grow with the fleet. A wait that was
-// swallowed ends after `kLongestPatience`, and sooner if another reader's sign
-// of life shows a change.
+// A reader counts as current when the store answers a call while a wait for
+// changes is open that the store would have answered before. The answer to any
+// call counts, including another feed's wait, as holders call the store all the
+// time for the budgets. Where they don't, readers end their waits often enough
+// that together they call about once in `kFleetCallInterval`, however many they
+// are, so the calls don't grow with the fleet. A wait that was lost ends after
+// `kMaxWaitTimeout`, or sooner if another reader's heartbeat shows a change.
 //
-// A store that is lost. Routers that are told take the lack of signs for a loss
-// of the store, and the first sign after it for its return, and report both as
-// a follower does; relay/target_follower.h depends on that.
+// Loss of the store. Routers that rely on readers take missing heartbeats for a
+// loss of the store, and the first heartbeat after it for its return, and
+// report both as a follower does; relay/target_follower.h depends on that.
 //
-// It owns the follower, what is known to be current, and at readers all items.
-// Loop, clock, store and chart must outlive it. News that can't be or come from
-// a router that isn't a reader change nothing and leave a line in the log. Lost
-// news are made up for by the next sign of life.
+// It owns the follower, the time up to which its state is current and, at
+// readers, all items. Loop, clock, store and chart must outlive it. An update
+// that is invalid or doesn't come from a reader changes nothing and is logged.
+// The next heartbeat makes up for lost updates.
 
 #ifndef QUAYTRACK_RELAY_STATE_FEED_H_
 #define QUAYTRACK_RELAY_STATE_FEED_H_
@@ -84,15 +84,16 @@
 
 class StateFeed;
 
-// How a feed reaches other routers, and the other feeds of its process.
+// Connects a feed to other routers, and to the other feeds of its process.
 struct FeedLinks {
   // Sends a message to one peer.
   std::function<void(const Incarnation&, PeerMessage)> send;
-  // Sends a message to all that a reader tells: its hall and other readers.
+  // Sends a message to every router that relies on this reader: those of its
+  // hall and the other readers.
   std::function<void(PeerMessage)> tell;
-  // By this router's list of routers.
+  // Whether the peer is a reader, by this router's list of routers.
   std::function<bool(const Incarnation&)> is_reader;
-  // Those that are linked, in the order in which this router asks them.
+  // The linked readers, in the order in which this router sends them requests.
   std::function<std::vector<Incarnation>()> readers;
   // The store has answered a call of `feed`; see `TellOthersOfAnswer`.
   std::function<void(const StateFeed& feed)> store_answered =
@@ -109,24 +110,24 @@
 
 class StateFeed {
  public:
-  // How long a router does without a sign that it is current. Signs come from
-  // several readers each second (relay/peer_mesh.h), so it is a few lost ones.
-  // The least of the users' bounds for a configuration in force is 2 s. Not
-  // compared with other values.
+  // How long a router relies on the last heartbeat that showed it to be
+  // current. Several readers send one each second (relay/peer_mesh.h), so this
+  // allows for a few lost ones. The tightest bound is 2 s, for a configuration
+  // to be in force.
   static constexpr Duration kFreshFor = std::chrono::milliseconds(1500);
 
-  // How long a router that starts waits for a reader's items. Links are open
-  // some hundred milliseconds after the list of routers was read.
+  // How long a starting router waits for a reader's items. Links are open some
+  // hundred milliseconds after the list of routers was read.
   static constexpr Duration kToldWithin = std::chrono::milliseconds(3000);
 
   struct Options {
     FeedName name = FeedName::kConfig;
     StoreFollower::Options follower;
-    // Longer than `kFreshFor` for what peers tell each other by other ways as
-    // well.
+    // Longer than `kFreshFor` for state that peers also send each other by
+    // other ways.
     Duration fresh_for = kFreshFor;
   };
-  // As of a follower; `answered` is not used.
+  // Those of a follower; `answered` is not used.
   using Handlers = StoreFollower::Handlers;
 
   StateFeed(const FeedContext& context, Options options, Handlers handlers,
@@ -135,35 +136,35 @@
   FeedName name() const { return options_.name; }
 
   void Start() { follower_.Start(); }
-  // The same in a fleet that has readers: asks one of them for all items, and
-  // the store only if none has begun to send them `within` that time.
+  // The same in a fleet that has readers: requests all items from a reader, and
+  // reads the store only if no reader has started to send them within `within`.
   void StartFromReaders(Duration within = kToldWithin);
-  // Whether this router is one of the fleet's `readers` readers.
+  // Sets whether this router is one of the fleet's `readers` readers.
   void SetRole(bool is_reader, std::size_t readers);
   void OnPeer(const PeerMessage& message);
   // The store has answered some call of this router.
   void OnStoreAnswered();
-  // The store has named a later era, in the answer to any call of this router.
+  // An answer to some call of this router has shown a later era of the store.
   void OnStoreEra() { follower_.CheckEra(); }
-  // Notices that nobody has shown for too long that this router is current.
+  // Detects that this router wasn't shown to be current for too long.
   void Check();
-  // There is reason to think that this router's call is lost.
+  // The open wait may be lost; starts it again.
   void AskAgain();
-  // A peer knows this revision, which isn't known here.
+  // Reads up to this revision, which a peer knows and this router doesn't.
   void AskFor(StoreRevision revision);
 
-  // What a reader says in a sign of life; nothing at others.
+  // The mark for a reader's heartbeat; std::nullopt at other routers.
   std::optional<FeedMark> Mark() const;
-  // Every change up to this revision of the store has been handed out.
+  // The revision up to which every change was passed to the handlers.
   StoreRevision known() const { return Known(); }
-  // As of the follower.
+  // See StoreFollower::latest_change.
   StoreRevision latest_change() const { return follower_.latest_change(); }
-  // Every change up to that revision is known here. That an item of it is known
-  // says less: a read in pages may show a later item and miss an earlier
-  // change.
+  // Whether every change up to `revision` is known here. Knowing an item of
+  // that revision isn't enough: a read in pages may show a later item and miss
+  // an earlier change.
   bool HasRead(StoreRevision revision) const { return revision <= Known(); }
   FeedState state() const { return machine_.state(); }
-  // Since when this router is not known to be current.
+  // Time since this router was last known to be current.
   Duration Age() const { return context_.clock.Now() - current_at_; }
 
  private:
@@ -171,15 +172,16 @@
   void OnItems(const std::vector<StoreItem>& items);
   void OnChange(const StoreChange& change);
   void Settle();
-  // Every change up to this revision is known here.
+  // The revision up to which every change is known here.
   StoreRevision Known() const { return follower_.revision(); }
-  // The latest change of which that can be said.
+  // The latest change up to that revision.
   StoreRevision LatestKnown() const {
     return std::min(Known(), follower_.latest_change());
   }
-  // Something was read or told.
-  bool KnowsAny() const { return Known() != StoreRevision(); }
-  // What is known is of the store's present era, as far as this router knows.
+  // Some state was read or received.
+  bool HasState() const { return Known() != StoreRevision(); }
+  // Whether `revision` is of the store's present era, as far as this router
+  // knows.
   bool IsOfPresentEra(StoreRevision revision) const {
     return revision.era == std::max(Known().era, context_.store.era());
   }
@@ -189,28 +191,28 @@
   void Do(FeedAction action);
   void SetLost(bool lost);
 
-  bool IsSound(const PeerMessage& message) const;
+  bool IsValid(const PeerMessage& message) const;
   void OnMark(const FeedMark& mark);
-  void OnNews(const FeedNews& news);
+  void OnUpdate(const FeedNews& news);
   void OnState(const FeedNews& news);
-  void TakeState(FeedNews news);
-  void TakeChanges(const FeedNews& news);
+  void ApplyState(FeedNews news);
+  void ApplyChanges(const FeedNews& news);
   void OnAnswered();
-  Duration NextPatience();
-  void ShownCurrent(Duration age);
-  void ShownByReader(Duration age);
+  Duration NextWaitTimeout();
+  void MarkCurrent(Duration age);
+  void MarkCurrentByReader(Duration age);
 
   // Readers.
-  void Keep(const StoreChange& change);
-  void TellPending();
-  // Whether changes of so many bytes are announced, and not sent unasked.
-  bool IsCheaperAsked(std::size_t bytes) const;
+  void RecordChange(const StoreChange& change);
+  void SendPending();
+  // Whether changes of this size are only announced, and sent on request.
+  bool ShouldOnlyAnnounce(std::size_t bytes) const;
   void SendState(const Incarnation& peer, const FeedNews& wanted);
 
   // Routers that are behind.
   void OnBehind(StoreRevision revision);
-  void AskReader();
-  void AskNextReader();
+  void RequestState();
+  void RequestFromNextReader();
   void WaitForReaders(Duration within);
 
   FeedContext context_;
@@ -219,42 +221,43 @@
   FeedLinks links_;
   StoreFollower follower_;
   ChartMachine<FeedState, FeedEvent, FeedAction> machine_;
-  // Nothing had changed by then that isn't known here.
+  // The time at which every change of the store was known here.
   Instant current_at_;
   std::minstd_rand random_{std::random_device{}()};
-  // How long this router does without a sign.
-  Duration patience_;
-  // Of the fleet, at a reader.
+  // How long this router relies on the last heartbeat that showed it to be
+  // current.
+  Duration fresh_for_;
+  // Number of the fleet's readers; set at readers.
   std::size_t readers_ = 0;
-  // When the store last answered a call of another part.
+  // When the store last answered a call of another part of this process.
   Instant store_answered_at_{};
-  bool lost_ = false;
+  bool store_lost_ = false;
 
-  // At a reader, all items there are, once they were read.
+  // At a reader, whether `items_` holds all items.
   bool has_items_ = false;
   FeedItemBook items_;
-  // Changes after `told_up_to_`, of which the hall isn't told yet.
+  // Changes after `announced_revision_`, not yet sent to the hall.
   std::vector<StoreChange> pending_;
-  StoreRevision told_up_to_;
+  StoreRevision announced_revision_;
 
-  // The latest change that a peer is known to have.
-  StoreRevision behind_;
-  // Of an answer that has begun to come, and when its pages show that nothing
-  // else had changed.
+  // The latest revision that a peer is known to have.
+  StoreRevision peer_revision_;
+  // The pages received so far of an answer, and the lowest time at which they
+  // were current.
   FeedPageReader pages_;
   Instant pages_shown_at_{};
-  // Runs until a reader has sent all items at the start, or the store is asked.
+  // Runs until a reader has sent all items at the start, or the store is read.
   std::unique_ptr<Timer> start_timer_;
-  // Which of the linked readers is asked.
-  std::size_t asked_ = 0;
-  // Until another one is.
-  Duration ask_patience_{};
-  std::unique_ptr<Timer> behind_timer_;
+  // Index of the linked reader that gets the next request.
+  std::size_t reader_index_ = 0;
+  // Time after which the request goes to another reader.
+  Duration request_timeout_{};
+  std::unique_ptr<Timer> request_timer_;
 };
 
-// The store has answered `feed`, which shows the other feeds of its process
-// that they are current, and that they needn't ask as often. Not the feed
-// itself: its own answers say nothing of how often others come.
+// Notifies the other feeds of a process that the store has answered `feed`:
+// they are current, and needn't call as often. `feed` itself isn't notified, as
+// its own calls say nothing of how often other calls are answered.
 inline void TellOthersOfAnswer(std::span<StateFeed* const> feeds,
                                const StateFeed& feed) {
   for (StateFeed* it : feeds) {
