--- a/relay/budget_driver.cc
+++ b/relay/budget_driver.cc
@@ -48,7 +48,7 @@
     transfers_.AskPeers(clock_.Now(), customer, waiting, all);
   };
   out.answer = [this](const HoldWaiterPtr& it, PrepaidVerdict verdict) {
-    AnswerLater(it, verdict);
+    PostAnswer(it, verdict);
   };
   return out;
 }
@@ -60,7 +60,7 @@
     if (on_.broadcast) on_.broadcast(it);
   };
   out.tell = [this](const Incarnation& peer, const PeerMessage& it) {
-    Tell(peer, it);
+    SendTo(peer, it);
   };
   return out;
 }
@@ -69,7 +69,7 @@
   RemoteHolds::Handlers out;
   out.linked = [this](const VmName& vm) { return on_.linked(vm); };
   out.tell = [this](const Incarnation& peer, const PeerMessage& it) {
-    Tell(peer, it);
+    SendTo(peer, it);
   };
   return out;
 }
@@ -81,7 +81,7 @@
   };
   out.hold = [this](const HoldWaiterPtr& it) {
     const PrepaidVerdict verdict = HoldFromGrant(it);
-    // Else it waits.
+    // Otherwise it waits.
     if (verdict != PrepaidVerdict::kShort) Answer(*it, verdict);
   };
   out.forget = [this](const HoldWaiterPtr& it) { queue_.Remove(it); };
@@ -89,7 +89,7 @@
     SettleInGrant(customer, held, cost);
   };
   out.tell = [this](const Incarnation& peer, const PeerMessage& it) {
-    Tell(peer, it);
+    SendTo(peer, it);
   };
   return out;
 }
@@ -122,24 +122,26 @@
 
 PrepaidVerdict BudgetDriver::Hold(const HoldWaiterPtr& request) {
   if (!ledger_.IsLimited(request->customer())) return PrepaidVerdict::kHeld;
-  if (fleet_.IsRead()) return HoldHereOrElsewhere(request);
-  early_.push_back({request, clock_.Now()});
-  WatchWaits();
+  if (fleet_.IsRead()) return HoldLocallyOrRemotely(request);
+  early_holds_.push_back({request, clock_.Now()});
+  StartWaitTimer();
   return PrepaidVerdict::kShort;
 }
 
 void BudgetDriver::OnFleetRead() {
-  for (const Early& it : std::exchange(early_, {})) {
-    const PrepaidVerdict verdict = HoldHereOrElsewhere(it.waiter);
-    if (verdict != PrepaidVerdict::kShort) AnswerLater(it.waiter, verdict);
+  for (const EarlyHold& it : std::exchange(early_holds_, {})) {
+    const PrepaidVerdict verdict = HoldLocallyOrRemotely(it.waiter);
+    if (verdict != PrepaidVerdict::kShort) PostAnswer(it.waiter, verdict);
   }
 }
 
-PrepaidVerdict BudgetDriver::HoldHereOrElsewhere(const HoldWaiterPtr& waiter) {
-  // Requests that come before the list of routers has settled don't wait.
+PrepaidVerdict BudgetDriver::HoldLocallyOrRemotely(
+    const HoldWaiterPtr& waiter) {
+  // Requests that arrive before the list of routers has settled don't wait for
+  // that.
   TakePartIfHolder();
   if (ledger_.KeepsGrants()) return HoldFromGrant(waiter);
-  AskHolders(waiter);
+  RequestFromHolders(waiter);
   return PrepaidVerdict::kShort;
 }
 
@@ -147,32 +149,34 @@
   transfers_.CountHold(clock_.Now(), waiter->customer(), waiter->worst_case());
   const PrepaidVerdict out = queue_.HoldOrWait(clock_.Now(), waiter);
   if (out != PrepaidVerdict::kShort) return out;
-  WatchWaits();
+  StartWaitTimer();
   loop_.Post([this] { store_.RunCycle(); });
   return out;
 }
 
-void BudgetDriver::AskHolders(const HoldWaiterPtr& waiter) {
+void BudgetDriver::RequestFromHolders(const HoldWaiterPtr& waiter) {
   RemoteHolds::Request out;
   out.id = waiter->id();
   out.customer = waiter->customer();
   out.amount = waiter->worst_case();
   out.holders = fleet_.HoldersFor(waiter->customer());
   out.done = [this, waiter](PrepaidVerdict verdict) {
-    AnswerLater(waiter, verdict);
+    PostAnswer(waiter, verdict);
   };
   remote_.AskFor(clock_.Now(), std::move(out));
-  WatchWaits();
+  StartWaitTimer();
 }
 
-// Posted, as the waiter's end may change the list that is being gone through.
-void BudgetDriver::AnswerLater(const HoldWaiterPtr& waiter,
-                               PrepaidVerdict verdict) {
+// Posted, because the end of the waiter may change the list that is being
+// iterated over.
+void BudgetDriver::PostAnswer(const HoldWaiterPtr& waiter,
+                              PrepaidVerdict verdict) {
   loop_.Post([waiter, verdict] { Answer(*waiter, verdict); });
 }
 
 void BudgetDriver::Forget(const HoldWaiterPtr& request) {
-  std::erase_if(early_, [&](const Early& it) { return it.waiter == request; });
+  std::erase_if(early_holds_,
+                [&](const EarlyHold& it) { return it.waiter == request; });
   queue_.Remove(request);
   remote_.Forget(clock_.Now(), request->id());
 }
@@ -182,8 +186,8 @@
     return SettleInGrant(request.customer(), request.worst_case(), cost);
   }
   remote_.Settle(clock_.Now(), request.id(), cost);
-  // The holder has to acknowledge it.
-  WatchWaits();
+  // The holder has to acknowledge the cost.
+  StartWaitTimer();
 }
 
 void BudgetDriver::SettleInGrant(const CustomerName& customer, Tokens held,
@@ -192,7 +196,7 @@
   if (queue_.HasWaiters(customer)) queue_.Serve(clock_.Now());
 }
 
-void BudgetDriver::WatchWaits() {
+void BudgetDriver::StartWaitTimer() {
   if (wait_timer_) return;
   wait_timer_ =
       loop_.Every(HoldPatience().check_every, [this] { CheckWaits(); });
@@ -201,22 +205,22 @@
 void BudgetDriver::CheckWaits() {
   remote_.CheckTimes(clock_.Now());
   const bool waiting = queue_.Expire(clock_.Now(), store_.reachable());
-  RefuseEarly();
-  if (!waiting && early_.empty() && remote_.Idle()) wait_timer_.reset();
+  RefuseExpiredEarlyHolds();
+  if (!waiting && early_holds_.empty() && remote_.Idle()) wait_timer_.reset();
 }
 
-void BudgetDriver::RefuseEarly() {
-  const Instant over = clock_.Now() - HoldPatience().give_up_after;
-  std::erase_if(early_, [&](const Early& it) {
-    if (it.since > over) return false;
-    AnswerLater(it.waiter, PrepaidVerdict::kShort);
+void BudgetDriver::RefuseExpiredEarlyHolds() {
+  const Instant expired = clock_.Now() - HoldPatience().give_up_after;
+  std::erase_if(early_holds_, [&](const EarlyHold& it) {
+    if (it.arrived_at > expired) return false;
+    PostAnswer(it.waiter, PrepaidVerdict::kShort);
     return true;
   });
 }
 
 // --- Peers -------------------------------------------------------------------
 
-void BudgetDriver::Tell(const Incarnation& peer, PeerMessage message) {
+void BudgetDriver::SendTo(const Incarnation& peer, PeerMessage message) {
   message.from = self_;
   on_.tell(peer, message);
 }
--- a/relay/budget_driver.h
+++ b/relay/budget_driver.h
@@ -1,30 +1,31 @@
-// BudgetDriver: the prepaid budgets of one router, for the requests that it
-// relays and for peers that keep no grants.
+// BudgetDriver applies the prepaid budgets to the requests that this router
+// relays and to those of peers that keep no grants.
 //
 //   switch (budgets.Hold(waiter)) {
 //     case PrepaidVerdict::kHeld:        // send it
 //     case PrepaidVerdict::kExhausted:   // 402: the budget can't ever hold it
 //     case PrepaidVerdict::kShort:       // `OnHeld` or `OnHoldRefused` follows
 //   }
-//   budgets.Forget(waiter);              // while it waits: no longer wanted
-//   budgets.Settle(*waiter, cost);       // held: what it has cost
+//   budgets.Forget(waiter);              // cancels it while it waits
+//   budgets.Settle(*waiter, cost);       // after it was held: its cost
 //
 // Every hold that was granted is settled exactly once, with 0 if nothing ran;
-// until then its worst case can't be spent by anybody else.
+// until then no other request can spend its worst case.
 //
-// This class only joins the parts and passes on what concerns them:
+// This class only connects these parts:
 //   prepaid/prepaid_ledger.h   what this router may spend of each budget
 //   relay/prepaid_store.h      the ledger's reads and writes at the store
 //   relay/hold_queue.h         requests that wait for a larger grant
 //   relay/grant_transfers.h    unused grant from and to peers
 //   relay/remote_holds.h       holds at other routers, if this one keeps no
-//                              grants: in a large fleet most don't, and ask
-//                              those that do, the holders (fleet/fleet.h)
-//   relay/served_holds.h       the same from the holder's side
-// How long a request waits stands in relay/hold_patience.h.
+//                              grants: in a large fleet most routers keep none
+//                              and use the holders (fleet/fleet.h)
+//   relay/served_holds.h       the same at the holder
+// relay/hold_patience.h says how long a request waits.
 //
-// Units: tokens. Errors: a store or peers that don't answer make requests wait
-// and then be refused with `exhausted` false; nothing is spent on a guess.
+// Units: tokens. Errors: if the store or the peers don't answer, requests wait
+// and are then refused with `exhausted` false; nothing is spent without a
+// grant.
 
 #ifndef QUAYTRACK_RELAY_BUDGET_DRIVER_H_
 #define QUAYTRACK_RELAY_BUDGET_DRIVER_H_
@@ -52,11 +53,11 @@
 class BudgetDriver {
  public:
   struct Handlers {
-    // Tells all linked peers.
+    // Sends a message to all linked peers.
     std::function<void(const PeerMessage&)> broadcast;
-    // Tells one of them.
+    // Sends a message to one of them.
     std::function<void(const Incarnation&, const PeerMessage&)> tell;
-    // The incarnation that is linked on a VM; empty if none is.
+    // The linked incarnation of a VM; empty if none is linked.
     std::function<Incarnation(const VmName&)> linked;
     // The store was lost (false) or is back (true).
     std::function<void(bool)> store_reachable;
@@ -75,27 +76,27 @@
 
   // The store has come back in a later era.
   void OnStoreEra() { store_.OnStoreEra(); }
-  // The list of routers may have made this one a holder.
+  // Starts to keep grants if the list of routers makes this router a holder.
   void TakePartIfHolder();
-  // The list was read: requests that came before it go on.
+  // The list of routers was read; requests that waited for it continue.
   void OnFleetRead();
 
   // kShort: the request waits; `OnHeld` or `OnHoldRefused` follows.
   PrepaidVerdict Hold(const HoldWaiterPtr& request);
-  // The request no longer waits; it isn't answered.
+  // Cancels a waiting request; it gets no answer.
   void Forget(const HoldWaiterPtr& request);
-  // `cost`: the tokens that were handed out.
+  // `cost`: the tokens of the answer.
   void Settle(const HoldWaiter& request, Tokens cost);
 
   void OnPeer(const PeerMessage& message);
   void OnPeerLost(const Incarnation& peer);
 
-  // Peers that ask for holds are sent on to other holders.
+  // From now on, peers that request holds are sent on to other holders.
   void StopServing() { served_.Stop(); }
   // Returns the unspent grants to the store; `HasLeft` follows.
   void StartLeaving();
-  // Nothing of the budgets would be lost with this process: the store has its
-  // grants, and the holders that it asked know what their holds have cost.
+  // Whether this process may end without loss to the budgets: the store has its
+  // grants, and the holders that it used know the costs of its holds.
   bool HasLeft() const { return ledger_.HasLeft() && remote_.Idle(); }
   const PrepaidLedger& ledger() const { return ledger_; }
 
@@ -105,20 +106,20 @@
   GrantTransfers::Handlers TransferHandlers();
   RemoteHolds::Handlers RemoteHandlers();
   ServedHolds::Handlers ServedHandlers();
-  PrepaidVerdict HoldHereOrElsewhere(const HoldWaiterPtr& waiter);
+  PrepaidVerdict HoldLocallyOrRemotely(const HoldWaiterPtr& waiter);
   PrepaidVerdict HoldFromGrant(const HoldWaiterPtr& waiter);
-  void AskHolders(const HoldWaiterPtr& waiter);
+  void RequestFromHolders(const HoldWaiterPtr& waiter);
   void SettleInGrant(const CustomerName& customer, Tokens held, Tokens cost);
-  void AnswerLater(const HoldWaiterPtr& waiter, PrepaidVerdict verdict);
-  void Tell(const Incarnation& peer, PeerMessage message);
-  void WatchWaits();
+  void PostAnswer(const HoldWaiterPtr& waiter, PrepaidVerdict verdict);
+  void SendTo(const Incarnation& peer, PeerMessage message);
+  void StartWaitTimer();
   void CheckWaits();
-  void RefuseEarly();
+  void RefuseExpiredEarlyHolds();
 
-  // A request that came before the list of routers was read.
-  struct Early {
+  // A request that arrived before the list of routers was read.
+  struct EarlyHold {
     HoldWaiterPtr waiter;
-    Instant since{};
+    Instant arrived_at{};
   };
 
   Loop& loop_;
@@ -132,8 +133,8 @@
   GrantTransfers transfers_;
   RemoteHolds remote_;
   ServedHolds served_;
-  std::vector<Early> early_;
-  // Runs while anything waits.
+  std::vector<EarlyHold> early_holds_;
+  // Runs while any request waits.
   std::unique_ptr<Timer> wait_timer_;
 };
 
--- a/relay/config_follower.cc
+++ b/relay/config_follower.cc
@@ -27,8 +27,8 @@
     for (const StoreItem& it : items) AdoptIfHigher(it, Source::kStore);
   };
   on.changed = [this](const StoreChange& it) {
-    NoteHall(it);
-    NoteOrder(it);
+    ApplyHall(it);
+    ApplyOrder(it);
     if (!it.removed) AdoptIfHigher(it.item, Source::kStore);
   };
   on.settled = [this] { halls_.SetKnown(feed_.known()); };
@@ -48,28 +48,28 @@
       closed[*hall] = {it.revision, true};
     }
   }
-  TakeHalls(halls_.Replace(closed, feed_.known()), Source::kStore);
-  TakeShownHallsLater();
+  ReportHalls(halls_.Replace(closed, feed_.known()), Source::kStore);
+  AdoptStoredHallsLater();
 }
 
-void ConfigFollower::TakeShownHallsLater() {
+void ConfigFollower::AdoptStoredHallsLater() {
   if (!halls_.HasCarried()) return;
-  shown_timer_ = loop_.After(kWrittenAgainWithin, [this] {
-    shown_timer_.reset();
-    TakeHalls(halls_.TakeShown(), Source::kStore);
+  stored_halls_timer_ = loop_.After(kWrittenAgainWithin, [this] {
+    stored_halls_timer_.reset();
+    ReportHalls(halls_.TakeShown(), Source::kStore);
   });
 }
 
-void ConfigFollower::NoteHall(const StoreChange& change) {
+void ConfigFollower::ApplyHall(const StoreChange& change) {
   const auto hall = reader_.ClosedHall(change.item.key);
   if (!hall) return;
   const bool changed =
       halls_.Note(*hall, {change.item.revision, !change.removed});
-  if (changed) TakeHalls({*hall}, Source::kStore);
+  if (changed) ReportHalls({*hall}, Source::kStore);
 }
 
-void ConfigFollower::TakeHalls(const std::vector<HallName>& changed,
-                               Source source) {
+void ConfigFollower::ReportHalls(const std::vector<HallName>& changed,
+                                 Source source) {
   if (changed.empty()) return;
   for (const HallName& it : changed) {
     LogEvent(halls_.IsClosed(it) ? Event::kHallClosed : Event::kHallOpened,
@@ -90,32 +90,32 @@
     auto order = ReadOrLog(it, [&] { return reader_.Rollout(it); });
     if (order) orders.push_back(std::move(*order));
   }
-  TellOrders(orders_.Replace(orders, feed_.known()));
+  NotifyOrders(orders_.Replace(orders, feed_.known()));
   DropCarriedOrdersLater();
 }
 
 void ConfigFollower::DropCarriedOrdersLater() {
   if (!orders_.HasCarried()) return;
-  carried_timer_ = loop_.After(kWrittenAgainWithin, [this] {
-    carried_timer_.reset();
-    TellOrders(orders_.DropCarried());
+  carried_orders_timer_ = loop_.After(kWrittenAgainWithin, [this] {
+    carried_orders_timer_.reset();
+    NotifyOrders(orders_.DropCarried());
   });
 }
 
-// What can't be read takes no order back.
-void ConfigFollower::NoteOrder(const StoreChange& change) {
+// An item that can't be read doesn't withdraw the order before it.
+void ConfigFollower::ApplyOrder(const StoreChange& change) {
   const auto service = reader_.RolledOutService(change.item.key);
   if (!service) return;
   if (change.removed) {
-    if (orders_.Remove(*service)) TellOrders({*service});
+    if (orders_.Remove(*service)) NotifyOrders({*service});
     return;
   }
   const auto order =
       ReadOrLog(change.item, [&] { return reader_.Rollout(change.item); });
-  if (order && orders_.Put(*order)) TellOrders({*service});
+  if (order && orders_.Put(*order)) NotifyOrders({*service});
 }
 
-void ConfigFollower::TellOrders(const std::vector<ServiceName>& changed) {
+void ConfigFollower::NotifyOrders(const std::vector<ServiceName>& changed) {
   for (const ServiceName& it : changed) {
     on_.rollout_ordered(it, orders_.Find(it));
   }
@@ -139,7 +139,7 @@
 
 void ConfigFollower::OnPeer(const PeerMessage& message) {
   feed_.OnPeer(message);
-  TakeHalls(halls_.Merge(message.halls), Source::kPeer);
+  ReportHalls(halls_.Merge(message.halls), Source::kPeer);
   switch (message.kind) {
     case PeerMessageKind::kConfig:
       AdoptIfHigher({message.item_key, message.item_value, 0}, Source::kPeer);
@@ -148,7 +148,8 @@
       SendTo(message.from);
       return;
     default:
-      if (message.config_version > version()) AskPeerLater(message.from);
+      if (message.config_version > version())
+        RequestFromPeerLater(message.from);
   }
 }
 
@@ -162,12 +163,12 @@
   on_.send(peer, out);
 }
 
-void ConfigFollower::AskPeerLater(const Incarnation& peer) {
-  if (ask_timer_) return;
-  const std::uint64_t behind = version();
-  ask_timer_ = loop_.After(kOwnWaitFirst, [this, peer, behind] {
-    ask_timer_.reset();
-    if (version() != behind) return;
+void ConfigFollower::RequestFromPeerLater(const Incarnation& peer) {
+  if (request_timer_) return;
+  const std::uint64_t old_version = version();
+  request_timer_ = loop_.After(kOwnWaitFirst, [this, peer, old_version] {
+    request_timer_.reset();
+    if (version() != old_version) return;
     PeerMessage out;
     out.kind = PeerMessageKind::kConfigWanted;
     on_.send(peer, out);
--- a/relay/config_follower.h
+++ b/relay/config_follower.h
@@ -1,43 +1,43 @@
 // ConfigFollower keeps the configuration in force up to date, from the store
 // and from peers.
 //
-//   ConfigFollower configs(loop, store, reader, handlers);
+//   ConfigFollower configs(context, reader, handlers);
 //   configs.Start();
 //   configs.OnPeer(message);         // each message of a peer
 //   if (configs.map()) Serve(*configs.map());
 //
 // Adoption. A configuration is adopted only if its version is higher than the
-// one in force, whoever shows it: the store's answer to a wait, a whole read,
-// or a peer. A store that is behind, an operator's older write or a peer that
-// was cut off can therefore take nothing back. One that can't be read is
-// refused with a line in the log, and the one in force stays.
+// one in force, whether it comes from the store's answer to a wait, a full read
+// or a peer. So a store that is behind, an operator's older write or a peer
+// that was cut off can't revert it. A configuration that can't be read is
+// refused and logged, and the one in force stays.
 //
-// Asking a peer. Each sign of life of a peer (relay/peer_mesh.h, one a second)
-// says which version the peer has in force. A router that hears of a higher one
-// first gives its own wait for changes a moment (`kOwnWaitFirst`), as the store
-// usually tells all routers at once. If it still has the version that it had
-// then, it asks that peer, which sends the store's item as it has it. Only one
-// such question is under way at a time; a question or an answer that is lost is
-// made up for after the next sign of life.
+// Requests to peers. Each heartbeat of a peer (relay/peer_mesh.h, one a second)
+// carries the version that the peer has in force. A router that receives a
+// higher one first gives its own wait for changes some time (`kOwnWaitFirst`),
+// as the store usually notifies all routers at once. If its version hasn't
+// changed by then, it sends a request to that peer, which sends the store's
+// item unchanged. Only one such request is in progress at a time; after a lost
+// request or answer, the next heartbeat causes another.
 //
-// Halls that are closed to new work stand below the same prefix, and so cost no
-// call of their own (fleet/closed_halls.h). They are told with each sign of
-// life and with each configuration that is sent to a peer, and are in force
-// before that configuration is: a router that starts while a hall is closed
+// Halls that are closed to new work are stored below the same prefix, so they
+// cost no calls of their own (fleet/closed_halls.h). They are sent with each
+// heartbeat and with each configuration that is sent to a peer, and take effect
+// before that configuration does: a router that starts while a hall is closed
 // isn't ready before it knows.
 //
 // A store that comes back from an older copy of itself shows an older
-// configuration, which isn't adopted, and the halls as they were. What it shows
-// of halls that are known here counts `kWrittenAgainWithin` later, as operators
-// write again what was lost.
+// configuration, which isn't adopted, and the halls as they were. Its state of
+// halls that are known here takes effect only `kWrittenAgainWithin` later, as
+// operators write again what was lost.
 //
-// In a large fleet most routers don't follow the store but are told by readers
-// (relay/state_feed.h); the rules above are the same for what those tell.
+// In a large fleet most routers don't follow the store but receive updates from
+// readers (relay/state_feed.h); the same rules apply to those.
 //
 // It owns the configuration in force and the feed of the store's prefix. It
-// relies on `SharedStateReader` to read items, and on its handlers to reach
-// peers. Store, reader and loop must outlive it. Errors are logged here and
-// aren't reported to the caller.
+// uses `SharedStateReader` to read items, and its handlers to reach peers.
+// Store, reader and loop must outlive it. Errors are logged here and aren't
+// reported to the caller.
 
 #ifndef QUAYTRACK_RELAY_CONFIG_FOLLOWER_H_
 #define QUAYTRACK_RELAY_CONFIG_FOLLOWER_H_
@@ -60,22 +60,23 @@
 
 class ConfigFollower {
  public:
-  // After the first reading of a later era. Operators write again within some
+  // Time after the first read of a later era. Operators write again within some
   // seconds what the store has lost.
   static constexpr Duration kWrittenAgainWithin = std::chrono::seconds(10);
 
   struct Handlers {
-    // Another configuration is in force: the first, or a higher version.
+    // Another configuration is in force: the first one, or a higher version.
     std::function<void()> adopted;
     // Sends a message to one peer.
     std::function<void(const Incarnation&, PeerMessage)> send;
     // The store was lost (false) or is back (true).
     std::function<void(bool)> store_reachable;
-    // What the feed needs of the fleet; unused in a small one.
+    // The feed's access to the fleet; unused in a small one.
     FeedLinks feed = {};
-    // Some hall is closed that was open, or the other way round.
+    // A hall was closed or reopened.
     std::function<void()> halls_changed = [] {};
-    // A service is to move to another version; null if it no longer is.
+    // A service has been ordered to move to another version; null if the order
+    // was withdrawn.
     std::function<void(const ServiceName&, const RolloutOrder*)>
         rollout_ordered = [](const ServiceName&, const RolloutOrder*) {};
   };
@@ -85,47 +86,48 @@
 
   void Start() { feed_.Start(); }
   void OnPeer(const PeerMessage& message);
-  // The store is back: what waited through the outage may never be answered.
+  // The store is back; a wait that was open during the outage may never be
+  // answered.
   void AskStoreAgain() { feed_.AskAgain(); }
   StateFeed& feed() { return feed_; }
 
-  // Null before the first.
+  // Null until a configuration was adopted.
   const ServiceMapPtr& map() const { return map_; }
-  // Of the configuration in force; 0 before the first.
+  // Version of the configuration in force; 0 if there is none.
   std::uint64_t version() const { return map_ ? map_->version() : 0; }
   const ClosedHalls& halls() const { return halls_; }
 
  private:
-  // Who has shown a configuration; the word is the log's.
+  // Where a configuration came from, as the log names it.
   enum class Source { kStore, kPeer };
 
   StateFeed::Handlers StoreHandlers();
   void ReplaceHalls(const std::vector<StoreItem>& items);
-  void NoteHall(const StoreChange& change);
-  void TakeShownHallsLater();
+  void ApplyHall(const StoreChange& change);
+  void AdoptStoredHallsLater();
   void ReplaceOrders(const std::vector<StoreItem>& items);
-  void NoteOrder(const StoreChange& change);
-  void TellOrders(const std::vector<ServiceName>& changed);
+  void ApplyOrder(const StoreChange& change);
+  void NotifyOrders(const std::vector<ServiceName>& changed);
   void DropCarriedOrdersLater();
-  void TakeHalls(const std::vector<HallName>& changed, Source source);
+  void ReportHalls(const std::vector<HallName>& changed, Source source);
   void AdoptIfHigher(const StoreItem& item, Source source);
-  void AskPeerLater(const Incarnation& peer);
+  void RequestFromPeerLater(const Incarnation& peer);
   void SendTo(const Incarnation& peer);
 
   Loop& loop_;
   const SharedStateReader& reader_;
   Handlers on_;
   ServiceMapPtr map_;
-  // The item that `map_` was read from, for peers.
+  // The item that `map_` was read from; it is sent to peers.
   StoreItem item_;
   ClosedHalls halls_;
   OrderBook orders_;
   StateFeed feed_;
-  std::unique_ptr<Timer> ask_timer_;
-  // Runs while halls are not as the store shows them.
-  std::unique_ptr<Timer> shown_timer_;
+  std::unique_ptr<Timer> request_timer_;
+  // Runs while the state of the halls differs from the store's.
+  std::unique_ptr<Timer> stored_halls_timer_;
   // The same for orders.
-  std::unique_ptr<Timer> carried_timer_;
+  std::unique_ptr<Timer> carried_orders_timer_;
 };
 
 }  // namespace quaytrack
--- a/relay/fleet_driver.cc
+++ b/relay/fleet_driver.cc
@@ -11,26 +11,26 @@
 
 using std::chrono::milliseconds;
 
-// Under which each router's entry stands, by the name of its VM.
+// Prefix of the routers' entries; the name of the VM follows.
 constexpr char kPrefix[] = "quaytrack/router/";
 
-// From the first read of the list to the second; each later pause is twice the
-// one before it, up to the longest. All since commit e7705ae; not measured.
+// Interval from the first read of the list to the second; each later one is
+// twice the one before it, up to the maximum.
 constexpr Duration kFirstInterval = milliseconds(1500);
-constexpr Duration kLongestInterval = milliseconds(15000);
-// The longest where readers say how many routers there are: it only has to show
-// an entry that another has replaced. Not measured.
-constexpr Duration kLongestWhenTold = milliseconds(60000);
-// Least time between two reads because of a number, and the time after which
-// those that hear of it begin to.
-constexpr Duration kBetweenCounts = milliseconds(5000);
-constexpr Duration kCountRead = milliseconds(500);
-// From a call that failed to the next try. Not measured.
+constexpr Duration kMaxInterval = milliseconds(15000);
+// The maximum where readers send the number of routers: the read then only has
+// to find an entry that was replaced.
+constexpr Duration kMaxIntervalWithReaders = milliseconds(60000);
+// Minimum time between two reads because of a differing number, and the delay
+// from the heartbeat with that number to the read.
+constexpr Duration kMinCountReadInterval = milliseconds(5000);
+constexpr Duration kCountReadDelay = milliseconds(500);
+// Delay from a failed call to the next try.
 constexpr Duration kRetryAfter = milliseconds(400);
-// Each pause is drawn from between these parts of it, so that routers that
-// started together don't call together. Not measured.
-constexpr double kLeastJitter = 0.8;
-constexpr double kMostJitter = 1.2;
+// Each delay is multiplied by a random factor between these, so that routers
+// that started together don't call together.
+constexpr double kMinJitter = 0.8;
+constexpr double kMaxJitter = 1.2;
 
 }  // namespace
 
@@ -40,7 +40,7 @@
       store_(store),
       directory_(std::move(self), options),
       interval_(kFirstInterval),
-      longest_interval_(kLongestInterval) {}
+      max_interval_(kMaxInterval) {}
 
 void FleetDriver::SetAddress(const std::string& address) {
   FleetMember self = directory_.self();
@@ -48,14 +48,14 @@
   directory_.Put({self});
 }
 
-void FleetDriver::WriteOwnEntry() {
+void FleetDriver::WriteEntry() {
   const FleetMember& self = directory_.self();
   StoreWrite write;
   write.puts.push_back({kPrefix + self.vm.value, EncodeMember(self), 0});
   call_ = store_.Write(write, [this](const StoreWritten& it) {
     call_.reset();
     if (it.end != StoreEnd::kDone) {
-      return RunLater(kRetryAfter, &FleetDriver::WriteOwnEntry);
+      return RunLater(kRetryAfter, &FleetDriver::WriteEntry);
     }
     ReadEntries();
   });
@@ -72,19 +72,19 @@
     return RunLater(kRetryAfter, &FleetDriver::ReadEntries);
   }
   directory_.MarkRead();
-  const bool changed = directory_.Put(OthersIn(snapshot));
+  const bool changed = directory_.Put(OtherMembers(snapshot));
   const bool first = interval_ == kFirstInterval;
   const bool settles = !first && !settled_;
   if (settles) settled_ = true;
   if (changed || settles) changed_();
   if (first_read_) std::exchange(first_read_, nullptr)();
   RunLater(interval_ + DrawSpread(), &FleetDriver::ReadEntries);
-  interval_ = std::min(interval_ * 2, longest_interval_);
+  interval_ = std::min(interval_ * 2, max_interval_);
 }
 
 Duration FleetDriver::DrawSpread() {
-  const bool reads = directory_.IsReader(directory_.self().vm);
-  if (reads || directory_.IsSmall()) return Duration::zero();
+  const bool is_reader = directory_.IsReader(directory_.self().vm);
+  if (is_reader || directory_.IsSmall()) return Duration::zero();
   return DrawPart(random_, ReadingSpread(directory_.size()), 0, 1);
 }
 
@@ -97,23 +97,23 @@
   const bool agrees = directory_.IsRead() && routers == directory_.size();
   if (!settled_ && agrees) Settle();
   if (!settled_) return;
-  longest_interval_ = kLongestWhenTold;
-  if (interval_ < longest_interval_ && !call_) {
-    interval_ = longest_interval_;
+  max_interval_ = kMaxIntervalWithReaders;
+  if (interval_ < max_interval_ && !call_) {
+    interval_ = max_interval_;
     RunLater(interval_, &FleetDriver::ReadEntries);
   }
-  if (routers != directory_.size()) ReadSoon();
+  if (routers != directory_.size()) ScheduleCountRead();
 }
 
-void FleetDriver::ReadSoon() {
+void FleetDriver::ScheduleCountRead() {
   if (recent_timer_ || call_) return;
   recent_timer_ =
-      loop_.After(kBetweenCounts, [this] { recent_timer_.reset(); });
-  RunLater(kCountRead + DrawSpread(), &FleetDriver::ReadEntries);
+      loop_.After(kMinCountReadInterval, [this] { recent_timer_.reset(); });
+  RunLater(kCountReadDelay + DrawSpread(), &FleetDriver::ReadEntries);
 }
 
-// This router's own entry may be that of an earlier run, at another address.
-std::vector<FleetMember> FleetDriver::OthersIn(
+// This router's entry may be that of an earlier run, at another address.
+std::vector<FleetMember> FleetDriver::OtherMembers(
     const StoreSnapshot& snapshot) const {
   std::vector<FleetMember> out;
   for (const StoreItem& it : snapshot.items) {
@@ -128,14 +128,14 @@
 }
 
 void FleetDriver::RunLater(Duration delay, void (FleetDriver::*step)()) {
-  timer_ = loop_.After(DrawPart(random_, delay, kLeastJitter, kMostJitter),
+  timer_ = loop_.After(DrawPart(random_, delay, kMinJitter, kMaxJitter),
                        [this, step] { (this->*step)(); });
 }
 
-// Later, as all routers see it at about the same time.
+// Delayed, as all routers see the new era at about the same time.
 void FleetDriver::OnStoreEra() {
   call_.reset();
-  RunLater(kRetryAfter, &FleetDriver::WriteOwnEntry);
+  RunLater(kRetryAfter, &FleetDriver::WriteEntry);
 }
 
 void FleetDriver::OnHello(const FleetMember& member) {
--- a/relay/fleet_driver.h
+++ b/relay/fleet_driver.h
@@ -5,33 +5,34 @@
 //   fleet.SetAddress("10.0.0.7:8082");
 //   fleet.Start();
 //   fleet.OnHello(member);            // a router that has linked to this one
-//   fleet.OnReaderCounts(295);        // from each reader's sign of life
+//   fleet.OnReaderCounts(295);        // from each reader's heartbeat
 //
-// Each router writes an entry of its own into the store when it starts, and
-// reads those of all routers again and again: soon at first, as the routers of
-// a fleet start together, and then less and less often (constants in the .cc).
-// Between two reads, a router that opens a link says who and where it is.
+// Each router writes its entry into the store when it starts, and polls the
+// entries of all routers: at short intervals at first, as the routers of a
+// fleet start together, and then at growing ones (constants in the .cc).
+// Between two reads, a router that opens a link sends its name and address.
 //
 // The entries are polled, not followed: while a fleet starts, following would
 // wake all routers for each entry, and a list that is some seconds old does no
 // harm (fleet/fleet.h says why). In a large fleet the readers (fleet/fleet.h)
-// poll; they say with each sign of life how many routers they know, and the
-// others read the list only where they know another number, or after a long
-// time. One that knows the number that a reader knows needs no second reading
-// to settle. Nothing removes an entry; a VM that is gone for good stays in the
-// list (docs/FINDINGS.md).
+// poll. They send with each heartbeat how many routers they know, and the other
+// routers read the list only if they know another number, or after a long time.
+// A router that knows the same number as a reader settles without a second
+// read. Nothing removes an entry; a VM that is gone for good stays in the list
+// (docs/FINDINGS.md).
 //
-// The list grows with the fleet, and so do those that read it. So all but the
-// readers spread a reading over a time that grows with both (`ReadingSpread`):
-// together they take the same part of the store's link in a fleet of any size.
+// The size of the list grows with the fleet, and so does the number of routers
+// that read it. So all routers but the readers spread a read over a time that
+// grows with both (`ReadingSpread`): together they take the same share of the
+// store's link in a fleet of any size.
 //
 // A store that comes back from an older copy of itself may lack this router's
 // entry, or have that of an earlier run; the entry is then written again.
 //
-// It owns the directory. Calls to the store that fail are made again after
-// `kRetryAfter`, without end; writing the entry twice is the same as once. An
-// entry that can't be read is left out, with a line in the log. Store and loop
-// must outlive the driver.
+// It owns the directory. Calls to the store that fail are retried after
+// `kRetryAfter`, without limit; writing the entry twice does no harm. An entry
+// that can't be read is skipped and logged. Store and loop must outlive the
+// driver.
 
 #ifndef QUAYTRACK_RELAY_FLEET_DRIVER_H_
 #define QUAYTRACK_RELAY_FLEET_DRIVER_H_
@@ -51,7 +52,8 @@
 
 class FleetDriver {
  public:
-  // Over how long all routers of a fleet spread one reading of the list each.
+  // The time over which all routers of a fleet spread one read of the list
+  // each.
   static constexpr Duration ReadingSpread(std::size_t routers) {
     return std::chrono::microseconds(4) * static_cast<long>(routers * routers);
   }
@@ -59,40 +61,44 @@
   FleetDriver(Loop& loop, KvStore& store, FleetMember self,
               FleetOptions options);
 
-  // Called when the list has changed, and once when it has settled.
+  // Sets a callback for when the list has changed, and once when it has
+  // settled.
   void OnChanged(std::function<void()> changed) {
     changed_ = std::move(changed);
   }
-  // Called once, when the list was first read; after `OnChanged`'s.
+  // Sets a callback for the first read of the list; it runs after
+  // `OnChanged`'s.
   void OnFirstRead(std::function<void()> first_read) {
     first_read_ = std::move(first_read);
   }
-  // Where peers reach this router, "host:port"; before `Start`.
+  // Sets where peers reach this router, "host:port"; call before `Start`.
   void SetAddress(const std::string& address);
-  void Start() { WriteOwnEntry(); }
-  // A router has said who and where it is.
+  void Start() { WriteEntry(); }
+  // A router has sent its name and address.
   void OnHello(const FleetMember& member);
-  // A reader, which this router isn't, knows so many routers.
+  // A reader's heartbeat says that it knows `routers` routers. Not called at
+  // readers.
   void OnReaderCounts(std::size_t routers);
 
   // The store has come back in a later era.
   void OnStoreEra();
 
   const FleetDirectory& directory() const { return directory_; }
-  // The list was read for the second time, so that routers that started
-  // together with this one have had time to write their entries.
+  // Whether the list was read for the second time, or was found complete.
+  // Routers that started together with this one have then had time to write
+  // their entries.
   bool settled() const { return settled_; }
 
  private:
-  void WriteOwnEntry();
+  void WriteEntry();
   void ReadEntries();
   void OnSnapshot(const StoreSnapshot& snapshot);
-  std::vector<FleetMember> OthersIn(const StoreSnapshot& snapshot) const;
-  void ReadSoon();
+  std::vector<FleetMember> OtherMembers(const StoreSnapshot& snapshot) const;
+  void ScheduleCountRead();
   void Settle();
-  // Nothing for a reader, or in a small fleet.
+  // Zero for a reader, or in a small fleet.
   Duration DrawSpread();
-  // Runs `step` after `delay`, more or less.
+  // Runs `step` after about `delay`, with jitter.
   void RunLater(Duration delay, void (FleetDriver::*step)());
 
   Loop& loop_;
@@ -101,10 +107,11 @@
   std::function<void()> changed_;
   std::function<void()> first_read_;
   bool settled_ = false;
-  // From the next read to the one after it.
+  // Interval from the next read to the one after it.
   Duration interval_;
-  Duration longest_interval_;
-  // Runs while the list was read too shortly ago to be read for its number.
+  Duration max_interval_;
+  // Runs while the list was read too recently to be read for a differing
+  // number.
   std::unique_ptr<Timer> recent_timer_;
   std::minstd_rand random_{std::random_device{}()};
   KvStore::CallPtr call_;
--- a/relay/grant_transfers.cc
+++ b/relay/grant_transfers.cc
@@ -9,16 +9,15 @@
 namespace quaytrack {
 namespace {
 
-// Asked for beyond what waits, at the least. Of commit df506c1; not measured.
-constexpr Tokens kLeastSpare = 30000;
-// Time over which the demand is measured, and for which it is asked. Of commit
-// e7705ae, in whose trials it was one of two changes; not measured alone.
-constexpr Duration kDemandTime = std::chrono::milliseconds(1000);
+// The least amount that a first request asks for beyond what waits.
+constexpr Tokens kMinSpare = 30000;
+// The time over which the demand is measured, and for which it is requested.
+constexpr Duration kDemandWindow = std::chrono::milliseconds(1000);
 
 }  // namespace
 
 DecayingRate& GrantTransfers::DemandOf(const CustomerName& customer) {
-  return demand_.try_emplace(customer, kDemandTime).first->second;
+  return demand_.try_emplace(customer, kDemandWindow).first->second;
 }
 
 void GrantTransfers::CountHold(Instant now, const CustomerName& customer,
@@ -28,15 +27,16 @@
 
 void GrantTransfers::AskPeers(Instant now, const CustomerName& customer,
                               Tokens waiting, bool all) {
-  const double lately =
-      DemandOf(customer).PerSecond(now) * ToSeconds(kDemandTime);
+  const double recent =
+      DemandOf(customer).PerSecond(now) * ToSeconds(kDemandWindow);
   const Tokens spare =
-      all ? 0 : std::max<Tokens>(kLeastSpare, std::lround(lately));
-  const Tokens own = std::max<Tokens>(0, ledger_.Allowance(now, customer));
+      all ? 0 : std::max<Tokens>(kMinSpare, std::lround(recent));
+  const Tokens available =
+      std::max<Tokens>(0, ledger_.Allowance(now, customer));
   PeerMessage out;
   out.kind = PeerMessageKind::kTransferWanted;
   out.customer = customer;
-  out.amount = waiting + spare - own;
+  out.amount = waiting + spare - available;
   out.all = all;
   on_.broadcast(out);
 }
--- a/relay/grant_transfers.h
+++ b/relay/grant_transfers.h
@@ -1,23 +1,23 @@
-// GrantTransfers: unused grant that routers pass to each other without the
-// store, as transfers of rights between replicas (escrow: O'Neil 1986; bounded
-// counters: Balegas et al. 2015).
+// GrantTransfers passes unused grant between routers without the store, as
+// transfers of rights between replicas (escrow: O'Neil 1986; bounded counters:
+// Balegas et al. 2015).
 //
-//   transfers.CountHold(now, customer, worst_case);      // each hold
-//   transfers.AskPeers(now, customer, waiting, all);     // too little here
-//   transfers.OnWanted(now, message);                    // a peer asks
-//   transfers.OnTransfer(message);                       // a peer gave some
+//   transfers.CountHold(now, customer, worst_case);    // each hold
+//   transfers.AskPeers(now, customer, waiting, all);   // too little here
+//   transfers.OnWanted(now, message);                  // a peer's request
+//   transfers.OnTransfer(message);                     // a peer's transfer
 //
-// A transfer is told as the running total of what one router has passed to the
-// other of one customer, so that a message that is lost, doubled or late does
-// no harm: the next one makes up for it, and either side may enter it into the
-// record (prepaid/prepaid_record.h).
+// A transfer is sent as the running total of what one router has passed to the
+// other for one customer. A message that is lost, duplicated or late therefore
+// does no harm: the next one makes up for it, and either side may enter the
+// transfer into the record (prepaid/prepaid_record.h).
 //
-// How much to ask for. Inputs: the tokens that wait here, what this router may
-// spend at present, and what was held in the last second. A first ask is for
-// what waits and what the next second is likely to need, but at least
-// `kLeastSpare`, so that not each request has to ask again; the second ask, for
-// everything unused, is only for what waits. How much a peer gives up is the
-// ledger's decision (PrepaidLedger::TransferOut).
+// The amount to request depends on the tokens that wait here, the tokens that
+// this router may spend at present, and the holds of the last second. A first
+// request is for what waits and what the next second is likely to need, but at
+// least `kMinSpare`, so that not every hold needs a request. The second
+// request, for everything unused, is only for what waits. The ledger decides
+// how much a peer gives up (PrepaidLedger::TransferOut).
 //
 // Owns the demand of each customer. Units: tokens.
 
@@ -39,7 +39,7 @@
 class GrantTransfers {
  public:
   struct Handlers {
-    // Tells all linked peers, and one of them.
+    // Send a message to all linked peers, and to one of them.
     std::function<void(const PeerMessage&)> broadcast;
     std::function<void(const Incarnation&, const PeerMessage&)> tell;
   };
@@ -47,11 +47,11 @@
   GrantTransfers(PrepaidLedger& ledger, Handlers handlers)
       : ledger_(ledger), on_(std::move(handlers)) {}
 
-  // A request asked for `amount`, whether it is held or has to wait.
+  // Counts a request for `amount`, whether it is held or has to wait.
   void CountHold(Instant now, const CustomerName& customer, Tokens amount);
 
-  // `waiting`: the sum that waits. `all`: for all that peers don't use, else
-  // for half of it.
+  // Requests transfers. `waiting` is the sum that waits. If `all`, peers may
+  // transfer everything that they don't use, otherwise half of it.
   void AskPeers(Instant now, const CustomerName& customer, Tokens waiting,
                 bool all);
   void OnWanted(Instant now, const PeerMessage& message);
@@ -62,7 +62,7 @@
 
   PrepaidLedger& ledger_;
   Handlers on_;
-  // Tokens that were asked for of late.
+  // Rate of the tokens requested.
   std::map<CustomerName, DecayingRate> demand_;
 };
 
--- a/relay/link_monitor.h
+++ b/relay/link_monitor.h
@@ -1,15 +1,15 @@
-// LinkMonitor measures the load of this VM's network link: it gives
-// dispatch/link_watch.h, which decides whether the link is busy, what the
-// sockets of a loop have carried.
+// LinkMonitor measures the load of this VM's network link. It passes the
+// traffic of a loop's sockets to dispatch/link_watch.h, which decides whether
+// the link is busy.
 //
 //   LinkMonitor link(loop, clock, settings.link_mbps);
 //   if (link.Observe()) LogChange(link.IsBusy());      // a few times a second
 //
-// Sockets count the bytes of their payload and the pieces in which they were
-// read and written (net/traffic.h). A piece is at least one packet, and is
-// acknowledged by one in the other direction, so each counts `kHeaderBytes` in
-// both. The result is an estimate that errs to the low side: large pieces take
-// several packets.
+// Sockets count the bytes of their payload and the reads and writes that
+// carried them (net/traffic.h). Each read or write takes at least one packet,
+// and an acknowledgement in the other direction, so each counts `kHeaderBytes`
+// in both. The result is an estimate on the low side, as a large read or write
+// takes several packets.
 
 #ifndef QUAYTRACK_RELAY_LINK_MONITOR_H_
 #define QUAYTRACK_RELAY_LINK_MONITOR_H_
@@ -22,8 +22,8 @@
 
 class LinkMonitor {
  public:
-  // `mbps`: megabits a second of each direction; 0 if it isn't known, and then
-  // the link is never busy.
+  // `mbps`: megabits a second of each direction; 0 if unknown, and then the
+  // link is never busy.
   LinkMonitor(Loop& loop, const Clock& clock, double mbps)
       : loop_(loop), clock_(clock), watch_({mbps * kBytesPerMegabit}) {}
 
@@ -38,13 +38,13 @@
   }
 
   bool IsBusy() const { return watch_.IsBusy(); }
-  // Part of the link that is in use, smoothed.
+  // The share of the link that is in use, smoothed.
   double load() const { return watch_.load(); }
 
  private:
   static constexpr double kBytesPerMegabit = 1e6 / 8;
-  // IP and TCP headers of a packet, of data or of an acknowledgement: 40 bytes,
-  // more with options. Not measured.
+  // Bytes of the IP and TCP headers of a data packet or an acknowledgement: 40,
+  // and more with options.
   static constexpr double kHeaderBytes = 60;
 
   Loop& loop_;
--- a/relay/prepaid_store.cc
+++ b/relay/prepaid_store.cc
@@ -14,22 +14,22 @@
 
 constexpr char kRecordKey[] = "quaytrack/prepaid";
 constexpr char kSpendPrefix[] = "quaytrack/spend/";
-// How often the ledger is asked whether anything is due, besides the moments
-// that make something due. Of commit df506c1; not measured.
-constexpr Duration kCycleEvery = milliseconds(100);
-// Routers whose writes were rejected for each other's try again after a random
-// time up to this, in milliseconds. Of commit df506c1; not measured. It doubles
-// with each further rejection up to the longest: when fifteen holders have the
-// store back after a cut, each has the record to change, and takes some 30 ms
-// from seeing it to writing it.
+// How often the ledger is polled for due work, in addition to the events that
+// make work due.
+constexpr Duration kCycleInterval = milliseconds(100);
+// Routers whose writes conflicted retry after a random time up to this, in
+// milliseconds. It doubles with each further rejection up to
+// `kMaxRetryJitterMs`: when fifteen holders have the store back after a cut,
+// each has to change the record, and takes some 30 ms from reading it to
+// writing it.
 constexpr int kRetryJitterMs = 8;
-constexpr int kLongestJitterMs = 128;
+constexpr int kMaxRetryJitterMs = 128;
 
-// A cycle rests so many times as long as its work on the record took, so that a
-// router which keeps budgets answers the others in between, and up to that
-// long, as requests wait for grants.
-constexpr int kRestOfWork = 3;
-constexpr Duration kLongestRest = milliseconds(200);
+// After its work on the record, a cycle pauses this many times as long as the
+// work took, so that a router that keeps budgets can answer other routers in
+// between. The pause has an upper bound, as requests wait for grants.
+constexpr int kRestFactor = 3;
+constexpr Duration kMaxRest = milliseconds(200);
 
 std::string KeyIn(std::int64_t era, const std::string& key) {
   return era == 0 ? key : key + '/' + std::to_string(era);
@@ -41,18 +41,18 @@
   return KeyIn(era, kSpendPrefix + it.value);
 }
 
-// What a key is without its era, and that.
+// A key without its era, and the era.
 struct EraKey {
   std::string key;
   std::int64_t era = 0;
 };
 
-// An era follows the last slash, if it is a number; `least` is where the key
-// begins that it follows.
-EraKey SplitKey(const std::string& key, std::size_t least) {
+// The era is the number after the last slash, if that stands at `min_slash` or
+// later and a number follows it.
+EraKey SplitKey(const std::string& key, std::size_t min_slash) {
   const std::size_t slash = key.rfind('/');
   EraKey out{key, 0};
-  if (slash == std::string::npos || slash < least) return out;
+  if (slash == std::string::npos || slash < min_slash) return out;
   const char* end = key.data() + key.size();
   const auto [stop, error] =
       std::from_chars(key.data() + slash + 1, end, out.era);
@@ -89,37 +89,37 @@
       self_(std::move(self)),
       ledger_(ledger),
       on_(std::move(handlers)),
-      jitter_ms_(kRetryJitterMs),
-      pacer_(kRestOfWork, kLongestRest) {}
+      max_jitter_ms_(kRetryJitterMs),
+      pacer_(kRestFactor, kMaxRest) {}
 
 void PrepaidStore::Start() {
-  cycle_timer_ = loop_.Every(kCycleEvery, [this] { RunCycle(); });
+  cycle_timer_ = loop_.Every(kCycleInterval, [this] { RunCycle(); });
   RunCycle();
 }
 
 void PrepaidStore::RunCycle() {
-  const Instant begun = clock_.Now();
-  if (call_ || !pacer_.MayWork(begun)) return;
+  const Instant started = clock_.Now();
+  if (call_ || !pacer_.MayWork(started)) return;
   ledger_.OnStoreEra(store_.era());
-  if (ledger_.NeedsRead(begun)) return ReadSpends();
-  const auto write = ledger_.NextWrite(begun);
+  if (ledger_.NeedsRead(started)) return ReadSpends();
+  const auto write = ledger_.NextWrite(started);
   if (!write) return;
   write_ = *write;
   call_ = store_.Write(ToStore(*write),
                        [this](const StoreWritten& it) { OnWritten(it); });
-  pacer_.OnWork(begun, clock_.Now());
+  pacer_.OnWork(started, clock_.Now());
 }
 
 void PrepaidStore::RunCycleSoon() {
-  std::uniform_int_distribution<int> jitter(0, jitter_ms_);
-  soon_timer_ =
+  std::uniform_int_distribution<int> jitter(0, max_jitter_ms_);
+  delayed_cycle_timer_ =
       loop_.After(milliseconds(jitter(random_)), [this] { RunCycle(); });
 }
 
 // --- Reading -----------------------------------------------------------------
 
-// The accounts come before the record: what the record then shows is never
-// older than they are (PrepaidLedger::OnRead).
+// The accounts are read before the record, so that the record is never older
+// than they are (PrepaidLedger::OnRead).
 void PrepaidStore::ReadSpends() {
   const std::string prefix = kSpendPrefix + VmOf(self_).value + "@";
   call_ =
@@ -151,23 +151,23 @@
 }
 
 void PrepaidStore::OnRecord(const StoreSnapshot& snapshot) {
-  const Instant begun = clock_.Now();
+  const Instant started = clock_.Now();
   call_.reset();
   SetReachable(snapshot.end == StoreEnd::kDone);
   const bool answered = snapshot.end == StoreEnd::kDone;
-  // The accounts that were read before it may be of an era that is over.
+  // The accounts, which were read first, may be of an era that has ended.
   const bool same_era = snapshot.revision.era == read_.era;
   if (!answered || !same_era || !DecodeRecord(snapshot.items)) {
     return ledger_.OnReadFailed(clock_.Now());
   }
   ledger_.OnRead(clock_.Now(), read_);
   on_.ledger_changed();
-  pacer_.OnWork(begun, clock_.Now());
+  pacer_.OnWork(started, clock_.Now());
   RunCycleSoon();
 }
 
-// Fills the record of `read_`, the one of the latest era; false if one can't be
-// decoded. It is left empty if the store has none.
+// Fills in the record of `read_`, taking the one of the latest era; false if a
+// record can't be decoded. It stays empty if the store has none.
 bool PrepaidStore::DecodeRecord(const std::vector<StoreItem>& items) {
   for (const StoreItem& it : items) {
     const EraKey key = SplitKey(it.key, sizeof kRecordKey - 1);
@@ -196,12 +196,12 @@
     expect(key, at.revision);
     out.removes.push_back(key);
   };
-  const std::string own_key = SpendKeyOf(self_, write.expected_spend.key_era);
-  expect(own_key, write.expected_spend.revision);
+  const std::string spend_key = SpendKeyOf(self_, write.expected_spend.key_era);
+  expect(spend_key, write.expected_spend.revision);
   if (!write.leaves) {
-    out.puts.push_back({own_key, EncodeSpend(write.spend), {}});
+    out.puts.push_back({spend_key, EncodeSpend(write.spend), {}});
   } else if (write.expected_spend.revision != 0) {
-    out.removes.push_back(own_key);
+    out.removes.push_back(spend_key);
   }
   if (!write.changes_record) return out;
   const StoredAt& record = write.expected_record;
@@ -229,7 +229,7 @@
                     written.revision.number);
   if (written.end == StoreEnd::kRejected) OnRejected(written.present);
   if (written.end == StoreEnd::kDone) {
-    jitter_ms_ = kRetryJitterMs;
+    max_jitter_ms_ = kRetryJitterMs;
     LogCharged();
     if (write_.declares) LogDeclared();
     LogWritten(written.revision.number);
@@ -237,14 +237,15 @@
   }
 }
 
-// A rejected write comes with what the store has now. That spares a read if
-// only the record has changed, as it does whenever another router writes it.
+// A rejected write returns the present values. That saves a read if only the
+// record has changed, as it does whenever another router writes it.
 void PrepaidStore::OnRejected(const std::vector<StoreItem>& present) {
-  const Instant begun = clock_.Now();
-  const std::string own_key = SpendKeyOf(self_, write_.expected_spend.key_era);
+  const Instant started = clock_.Now();
+  const std::string spend_key =
+      SpendKeyOf(self_, write_.expected_spend.key_era);
   StoreRevision spend_revision(write_.era, 0);
   for (const StoreItem& it : present) {
-    if (it.key == own_key) spend_revision = it.revision;
+    if (it.key == spend_key) spend_revision = it.revision;
   }
   const StoreRevision expected(write_.era, write_.expected_spend.revision);
   read_ = {};
@@ -256,9 +257,9 @@
       read_.revision > 0) {
     ledger_.OnNewerRecord(clock_.Now(), read_.revision, read_.record);
   }
-  pacer_.OnWork(begun, clock_.Now());
+  pacer_.OnWork(started, clock_.Now());
   RunCycleSoon();
-  jitter_ms_ = std::min(jitter_ms_ * 2, kLongestJitterMs);
+  max_jitter_ms_ = std::min(max_jitter_ms_ * 2, kMaxRetryJitterMs);
 }
 
 // --- Reports -----------------------------------------------------------------
--- a/relay/prepaid_store.h
+++ b/relay/prepaid_store.h
@@ -1,28 +1,28 @@
-// PrepaidStore: the cycle between the prepaid ledger and the store.
+// PrepaidStore runs the cycle between the prepaid ledger and the store.
 //
-//   PrepaidStore store(loop, clock, kv, self, ledger, {changed, reachable});
-//   store.Start();          // runs the cycle every `kCycleEvery`
+//   PrepaidStore store(loop, clock, kv, self, ledger, handlers);
+//   store.Start();          // runs the cycle every `kCycleInterval`
 //   store.RunCycle();       // something is due now
 //   store.RunCycleSoon();   // the same, a few milliseconds later
 //
-// One cycle does what the ledger says is due: it reads what the store has, or
-// writes this router's spend account, and the record with it if that is to
-// change. At most one call is under way. How each call ended goes back to the
-// ledger, which alone decides what that means for what may be spent; above all,
-// a write without an answer is neither done nor undone
+// One cycle does what the ledger says is due: it reads the store's values, or
+// writes this router's spend account, together with the record if that has to
+// change. At most one call is in progress. The outcome of each call goes back
+// to the ledger, which alone decides how it affects what may be spent; in
+// particular, a write without an answer may or may not have been applied
 // (prepaid/prepaid_ledger.h).
 //
 // Owns the store's two kinds of keys:
 //   quaytrack/prepaid               the record, of all routers
 //   quaytrack/spend/<incarnation>   the spend account of one router
 // After the store came back from an older copy of itself, "/" and the era
-// follow (StoredAt). What stands under the key of an earlier era is removed by
-// the write that replaces it; of what a late write leaves there, the latest era
-// counts.
+// follow the key (StoredAt). The write that replaces a key of an earlier era
+// also removes it; if a late write creates it again, the value of the latest
+// era counts.
 //
 // Errors. A value that can't be decoded is logged (record_refused) and is never
-// written over: without the record there is no grant. A lost and a regained
-// store are logged (kv_lost, kv_back) and reported.
+// overwritten: without the record there is no grant. The loss and the return of
+// the store are logged (kv_lost, kv_back) and reported.
 
 #ifndef QUAYTRACK_RELAY_PREPAID_STORE_H_
 #define QUAYTRACK_RELAY_PREPAID_STORE_H_
@@ -46,7 +46,7 @@
 class PrepaidStore {
  public:
   struct Handlers {
-    // The ledger has learned something, and may allow more.
+    // The ledger was updated, and may allow more.
     std::function<void()> ledger_changed;
     // The store was lost (false) or is back (true).
     std::function<void(bool)> reachable;
@@ -84,18 +84,17 @@
   PrepaidLedger& ledger_;
   Handlers on_;
   KvStore::CallPtr call_;
-  // The write under way.
+  // The write in progress.
   PrepaidWrite write_;
-  // What the read under way has found so far.
+  // The results so far of the read in progress.
   PrepaidState read_;
   std::unique_ptr<Timer> cycle_timer_;
-  std::unique_ptr<Timer> soon_timer_;
+  std::unique_ptr<Timer> delayed_cycle_timer_;
   std::minstd_rand random_{std::random_device{}()};
   bool reachable_ = true;
-  // Most of the pause before a rejected write is made again.
-  int jitter_ms_;
-  // Of reading, changing and writing the record, which grows with customers and
-  // holders.
+  // Upper bound of the pause before a rejected write is retried.
+  int max_jitter_ms_;
+  // Paces the work on the record, which grows with customers and holders.
   WorkPacer pacer_;
 };
 
--- a/relay/read_item.h
+++ b/relay/read_item.h
@@ -1,5 +1,5 @@
-// Reads one item of the store. An item that can't be read is left out, with a
-// line in the log that says why; what was known before stays as it was.
+// Reads one item of the store. An item that can't be read is skipped, and the
+// log says why; the caller keeps the previous value.
 //
 //   const auto entry = ReadOrLog(item, [&] { return reader.Target(item); });
 //   if (!entry) return;
@@ -26,7 +26,7 @@
       {{"key", item.key}, {"field", error.field}, {"problem", error.problem}});
 }
 
-// What `read` returns; nothing if it fails.
+// Returns the value of `read`, or std::nullopt if it fails.
 template <class Read>
 auto ReadOrLog(const StoreItem& item, Read read)
     -> std::optional<std::decay_t<decltype(read().value())>> {
@@ -42,9 +42,9 @@
         LogItemRefused(item, error);
         return std::nullopt;
       },
-      // A reader gives an `ItemError` for each fault that it knows.
+      // A reader reports an `ItemError` for each fault that it detects.
       [&]() -> Result {
-        LogItemRefused(item, {"", "failed for a reason that was not given"});
+        LogItemRefused(item, {"", "can't be read, for no stated reason"});
         return std::nullopt;
       });
 }
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -14,14 +14,14 @@
 namespace quaytrack {
 namespace {
 
-// How often the planned stop and the link's load are looked at. Not measured;
-// it is short beside the 700 ms over which the load is smoothed.
+// How often the planned stop, the feeds and the link's load are checked. It is
+// short beside the 700 ms over which the load is smoothed.
 constexpr Duration kCheckInterval = std::chrono::milliseconds(200);
 
-// Random bytes that tell one run of the process from another on the same VM.
+// Random bytes that distinguish the runs of the process on one VM.
 constexpr std::size_t kIncarnationBytes = 4;
 
-// Tells one boot of the machine from another; empty if it can't be read.
+// Identifies a boot of the machine; empty if it can't be read.
 std::string BootId() {
   std::ifstream in("/proc/sys/kernel/random/boot_id");
   std::string out;
@@ -37,8 +37,8 @@
   return out;
 }
 
-// Binds `server` to `address` and leaves the bound port there. If it can't, the
-// log names the setting.
+// Binds `server` to `address` and writes the bound port back to it. On failure
+// the log names the setting.
 template <class Server>
 bool ListenAt(const char* setting, std::string& address, Server& server) {
   const std::uint16_t port = server.Listen(address);
@@ -95,8 +95,9 @@
           .rollouts = rollouts_,
           .metrics = metrics_,
           .stop = stop_,
-          .tell_peers = [this](const SentPrompt& it) { TellPeers(it); },
-          .target_leaves = [this](const TargetEntry& it) { OnSaysLeaving(it); },
+          .tell_peers = [this](const SentPrompt& it) { BroadcastPrompt(it); },
+          .target_leaves =
+              [this](const TargetEntry& it) { OnTargetLeaving(it); },
       },
       caller_server_(loop, clock),
       admin_server_(loop, clock),
@@ -144,7 +145,7 @@
       ListenAt("peer-listen", settings_.peer_listen, peers_);
   if (!all) return false;
   fleet_.SetAddress(settings_.peer_listen);
-  // Whoever started the process learns from this line where it listens.
+  // The program that started this process reads the addresses from this line.
   std::printf("listening %s %s\n", settings_.listen.c_str(),
               settings_.admin_listen.c_str());
   std::fflush(stdout);
@@ -161,7 +162,7 @@
     crashes_.Check();
     rollouts_.Check();
     LogColdTargets();
-    TellRateLimits();
+    BroadcastRateLimits();
     CheckLink();
   });
   configs_.Start();
@@ -169,7 +170,7 @@
   budgets_.Start();
 }
 
-// --- What the parts tell each other ------------------------------------------
+// --- Connections between the parts -------------------------------------------
 
 void RelayRouter::SendTo(const Incarnation& peer, PeerMessage message) {
   message.from = self_;
@@ -292,8 +293,8 @@
   return out;
 }
 
-// A router that hasn't settled its list may take a large fleet for a small one,
-// and decides nothing.
+// A router whose list hasn't settled may take a large fleet for a small one, so
+// it decides nothing.
 RolloutScene RelayRouter::SceneOfRollouts() const {
   const FleetDirectory& directory = fleet_.directory();
   const VmName& self = directory.self().vm;
@@ -315,7 +316,7 @@
 PeerMesh::Handlers RelayRouter::PeerHandlers() {
   PeerMesh::Handlers out;
   out.message = [this](const PeerMessage& it) { OnPeerMessage(it); };
-  out.fill = [this](PeerMessage& it) { FillSignOfLife(it); };
+  out.fill = [this](PeerMessage& it) { FillHeartbeat(it); };
   out.lost = [this](const Incarnation& it) { budgets_.OnPeerLost(it); };
   return out;
 }
@@ -349,7 +350,7 @@
   return out;
 }
 
-// From every user of the store: the followers and the budgets.
+// Called by every client of the store: the followers and the budgets.
 void RelayRouter::OnStoreReachable(bool reachable) {
   if (reachable) {
     configs_.AskStoreAgain();
@@ -358,7 +359,7 @@
   targets_.OnStoreReachable(reachable);
 }
 
-// What this router has read may be older now, and what it wrote gone.
+// What this router reads may now be older, and what it wrote may be lost.
 void RelayRouter::OnStoreEra() {
   configs_.feed().OnStoreEra();
   targets_.feed().OnStoreEra();
@@ -381,13 +382,15 @@
   budgets_.TakePartIfHolder();
 }
 
-// By the first reading of the list already: a reader too many costs some calls
-// until the list has settled, and without readers nobody has a list of targets.
+// Takes effect from the first read of the list: a superfluous reader costs some
+// calls until the list has settled, and without readers no router gets the list
+// of targets.
 void RelayRouter::SetFeedRoles() {
   const FleetDirectory& directory = fleet_.directory();
   if (!directory.IsRead()) return;
-  const bool reads = directory.IsReader(directory.self().vm);
-  for (StateFeed* it : Feeds()) it->SetRole(reads, directory.readers());
+  const bool self_is_reader = directory.IsReader(directory.self().vm);
+  for (StateFeed* it : Feeds())
+    it->SetRole(self_is_reader, directory.readers());
 }
 
 void RelayRouter::OnConfigAdopted() {
@@ -409,31 +412,31 @@
   if (message.kind == PeerMessageKind::kPromptSent) {
     return placement_.OnPeerSent(clock_.Now(), message.target, message.amount);
   }
-  HeedStoreEra(message);
-  HeedRateLimits(message);
+  CheckStoreEra(message);
+  ApplyRateLimits(message);
   placement_.SetPeerSpeeds(message.engine_speeds);
   budgets_.OnPeer(message);
   configs_.OnPeer(message);
   targets_.OnPeer(message);
   crashes_.OnPeer(message);
   rollouts_.OnPeer(message);
-  CountRouters(message);
+  CheckRouterCount(message);
 }
 
-// Peers may have no other way to know of it while the store is away.
-void RelayRouter::OnSaysLeaving(const TargetEntry& target) {
+// Peers may have no other way to learn of it while the store is away.
+void RelayRouter::OnTargetLeaving(const TargetEntry& target) {
   placement_.OnSaysLeaving(clock_.Now(), target);
   if (targets_.OnSaysLeaving(target)) peers_.BroadcastSignOfLife();
 }
 
-// The answer to a read shows the era to all who need to know.
-void RelayRouter::HeedStoreEra(const PeerMessage& message) {
-  if (message.store_era <= std::max(store_.era(), told_era_)) return;
-  told_era_ = message.store_era;
+// The answer to a read shows the era to all parts that need it.
+void RelayRouter::CheckStoreEra(const PeerMessage& message) {
+  if (message.store_era <= std::max(store_.era(), peer_era_)) return;
+  peer_era_ = message.store_era;
   configs_.feed().AskFor({message.store_era, 0});
 }
 
-void RelayRouter::HeedRateLimits(const PeerMessage& message) {
+void RelayRouter::ApplyRateLimits(const PeerMessage& message) {
   const auto changed =
       placement_.OnRateReports(clock_.Now(), message.rate_limits);
   for (const TargetStart& it : changed) {
@@ -441,9 +444,9 @@
   }
 }
 
-// In a large fleet only readers are linked to many, so they tell on what they
-// are told.
-void RelayRouter::TellRateLimits() {
+// In a large fleet only readers are linked to many routers, so they forward the
+// reports that they receive.
+void RelayRouter::BroadcastRateLimits() {
   const FleetDirectory& directory = fleet_.directory();
   const bool forwards = directory.IsReader(directory.self().vm);
   PeerMessage out;
@@ -452,16 +455,18 @@
   if (!out.rate_limits.empty()) Broadcast(std::move(out));
 }
 
-void RelayRouter::CountRouters(const PeerMessage& message) {
+void RelayRouter::CheckRouterCount(const PeerMessage& message) {
   const FleetDirectory& directory = fleet_.directory();
-  const bool tells = directory.IsReader(VmOf(message.from)) &&
-                     !directory.IsReader(directory.self().vm);
-  if (tells && message.routers > 0) fleet_.OnReaderCounts(message.routers);
+  const bool is_from_reader = directory.IsReader(VmOf(message.from)) &&
+                              !directory.IsReader(directory.self().vm);
+  if (is_from_reader && message.routers > 0)
+    fleet_.OnReaderCounts(message.routers);
 }
 
-// In a large fleet a router is linked to few others, so they would know little
-// more, and those that are linked to many would hear too much.
-void RelayRouter::TellPeers(const SentPrompt& sent) {
+// Only in a small fleet: in a large one a router is linked to few others, so
+// the message would tell them little, and routers with many links would receive
+// too many.
+void RelayRouter::BroadcastPrompt(const SentPrompt& sent) {
   if (!fleet_.directory().IsSmall()) return;
   PeerMessage out;
   out.kind = PeerMessageKind::kPromptSent;
@@ -470,7 +475,7 @@
   Broadcast(std::move(out));
 }
 
-void RelayRouter::FillSignOfLife(PeerMessage& message) {
+void RelayRouter::FillHeartbeat(PeerMessage& message) {
   message.config_version = configs_.version();
   message.store_era = store_.era();
   message.halls = configs_.halls().states();
--- a/relay/relay_router.h
+++ b/relay/relay_router.h
@@ -1,16 +1,16 @@
-// RelayRouter wires the parts of `quaytrack relay` together. Every VM runs one;
-// none is special.
+// RelayRouter wires the parts of `quaytrack relay` together. Every VM runs one,
+// and all are alike.
 //
 //   RelayRouter router(loop, clock, settings, {callers, targets, state},
-//                      connections, store, drain_chart);
+//                      connections, store, charts);
 //   if (!router.Listen()) return kExitRefused;
 //   router.Start();
 //   loop.Run();                   // until a planned stop is over
 //
-// Which part decides what:
+// The parts and what they decide:
 //
 //   a request              relay/relayed_request.h
-//   the target of one      dispatch/placement.h
+//   its target             dispatch/placement.h
 //   budgets                relay/budget_driver.h, prepaid/prepaid_ledger.h
 //   the configuration      relay/config_follower.h
 //   the list of targets    relay/target_follower.h
@@ -18,16 +18,16 @@
 //   a service's versions   relay/rollout_driver.h, rollout/rollout.h
 //   the list of routers    relay/fleet_driver.h, fleet/fleet.h
 //   links to other routers relay/peer_mesh.h
-//   the VM's own link      relay/link_monitor.h, dispatch/link_watch.h
+//   the VM's network link  relay/link_monitor.h, dispatch/link_watch.h
 //   a planned stop         relay/planned_stop.h
 //
-// Decided here is readiness alone, which the balancer asks for. A router is
-// ready if it has a configuration, no planned stop has started and its network
-// link is not busy. Losing the store or the peers doesn't make it unready: all
-// routers would be lost to callers at once, and each can serve what it has
-// budgets for.
+// This class itself decides only readiness, which the balancer polls. A router
+// is ready if it has a configuration, no planned stop has started and its
+// network link is not busy. Losing the store or the peers doesn't make it
+// unready: otherwise callers would lose all routers at once, although each can
+// still serve requests for which it has budgets.
 //
-// It owns all of these parts. Interface, connections, store, chart and loop
+// It owns all of these parts. Interface, connections, store, charts and loop
 // must outlive it.
 
 #ifndef QUAYTRACK_RELAY_RELAY_ROUTER_H_
@@ -62,7 +62,7 @@
 
 namespace quaytrack {
 
-// What differs between interfaces; must outlive the router.
+// The parts that differ between interfaces; they must outlive the router.
 struct RelayInterface {
   const CallerDialect& callers;
   const TargetDialect& targets;
@@ -75,7 +75,8 @@
               const RelayInterface& interface, TargetConnections& connections,
               KvStore& store, const RelayCharts& charts);
 
-  // Binds the addresses; false, with a line in the log, if one is taken.
+  // Binds the addresses; returns false, and logs the setting, if one can't be
+  // bound.
   bool Listen();
   void Start();
   // Starts a planned stop; `Loop::Run` returns when it is over.
@@ -95,7 +96,7 @@
   PlannedStop::Handlers StopHandlers();
   void ServeCallers();
   bool IsReady() const;
-  // As this router.
+  // Sends `message` with this router as its sender.
   void SendTo(const Incarnation& peer, PeerMessage message);
   void Broadcast(PeerMessage message);
   void OnStoreReachable(bool reachable);
@@ -104,13 +105,13 @@
   void SetFeedRoles();
   void OnConfigAdopted();
   void OnPeerMessage(const PeerMessage& message);
-  void TellPeers(const SentPrompt& sent);
-  void CountRouters(const PeerMessage& message);
-  void OnSaysLeaving(const TargetEntry& target);
-  void HeedStoreEra(const PeerMessage& message);
-  void HeedRateLimits(const PeerMessage& message);
-  void TellRateLimits();
-  void FillSignOfLife(PeerMessage& message);
+  void BroadcastPrompt(const SentPrompt& sent);
+  void CheckRouterCount(const PeerMessage& message);
+  void OnTargetLeaving(const TargetEntry& target);
+  void CheckStoreEra(const PeerMessage& message);
+  void ApplyRateLimits(const PeerMessage& message);
+  void BroadcastRateLimits();
+  void FillHeartbeat(PeerMessage& message);
   void FillMarks(PeerMessage& message);
   void AnswerAdmin(const std::shared_ptr<CallerConnection>& caller,
                    const CallerRequest& request);
@@ -135,7 +136,7 @@
   PeerMesh peers_;
   RetryShares retries_;
   RunningRequests requests_;
-  // Chooses among the services of a route.
+  // Used to choose among the services of a route.
   std::minstd_rand random_{std::random_device{}()};
   const RelayContext context_;
   CallerServer caller_server_;
@@ -145,8 +146,8 @@
   LinkMonitor link_;
   std::unique_ptr<Timer> check_timer_;
   bool announced_ready_ = false;
-  // The latest era of the store that a peer has named.
-  std::int64_t told_era_ = 0;
+  // The latest era of the store that a peer has sent.
+  std::int64_t peer_era_ = 0;
 };
 
 }  // namespace quaytrack
--- a/relay/rollout_driver.cc
+++ b/relay/rollout_driver.cc
@@ -12,13 +12,13 @@
 
 using std::chrono::milliseconds;
 
-// Within which all deciders write, each at a random moment. It is short beside
-// the users' bound on a bad version, 5 s.
-constexpr Duration kWriteWithin = milliseconds(400);
-// From a write that failed to the next.
+// Deciders write at a random moment within this time. It is short beside the
+// bound on noticing a bad version, 5 s.
+constexpr Duration kWriteSpread = milliseconds(400);
+// Delay from a failed write to the next try.
 constexpr Duration kRetryAfter = milliseconds(300);
-// Versions that are remembered as not completed, for each service.
-constexpr std::size_t kMostBarred = 16;
+// Number of versions of each service that are remembered as not completed.
+constexpr std::size_t kMaxBarred = 16;
 
 }  // namespace
 
@@ -73,18 +73,18 @@
     Bar(entry, entry.rollout->order().version);
   }
   entry.rollout.reset();
-  entry.wanted.reset();
+  entry.pending.reset();
   entry.call.reset();
 }
 
 void RolloutDriver::Bar(Entry& entry, const VersionName& version) {
   entry.barred.insert(version);
-  if (entry.barred.size() > kMostBarred) {
+  if (entry.barred.size() > kMaxBarred) {
     entry.barred.erase(entry.barred.begin());
   }
 }
 
-// --- What is seen and told ---------------------------------------------------
+// --- Answers and reports -----------------------------------------------------
 
 bool RolloutDriver::IsJudging(const ServiceName& service) const {
   const Rollout* it = Find(service);
@@ -141,15 +141,15 @@
       case RolloutAction::kNone:
         break;
       case RolloutAction::kReportCompleted:
-        Want(entry, RolloutEvent::kCompleted);
+        RequestWrite(entry, RolloutEvent::kCompleted);
         break;
       case RolloutAction::kReportReverted:
-        Want(entry, RolloutEvent::kReverted);
+        RequestWrite(entry, RolloutEvent::kReverted);
         break;
     }
-    WantWhatIsMissing(entry);
+    RequestMissingWrite(entry);
     LogState(service, entry);
-    if (entry.wanted && !entry.call && now >= entry.write_at) {
+    if (entry.pending && !entry.call && now >= entry.write_at) {
       Write(service, entry);
     }
   }
@@ -173,7 +173,7 @@
   on_.rule(service, rule, begin(random_));
 }
 
-// A step that this router has taken, or follows, is told on at once.
+// Peers are notified at once of a step that this router took or followed.
 void RolloutDriver::LogState(const ServiceName& service, Entry& entry) {
   const Rollout& rollout = *entry.rollout;
   if (rollout.state() == entry.logged) return;
@@ -197,45 +197,45 @@
   if (scene.decides) on_.tell();
 }
 
-// --- The store's word --------------------------------------------------------
+// --- The status in the store -------------------------------------------------
 
-void RolloutDriver::Want(Entry& entry, RolloutEvent said) {
-  if (entry.wanted == said) return;
-  entry.wanted = said;
+void RolloutDriver::RequestWrite(Entry& entry, RolloutEvent event) {
+  if (entry.pending == event) return;
+  entry.pending = event;
   entry.call.reset();
-  entry.write_at = context_.clock.Now() + DrawPart(random_, kWriteWithin, 0, 1);
+  entry.write_at = context_.clock.Now() + DrawPart(random_, kWriteSpread, 0, 1);
 }
 
-// What another decider may have begun and not finished.
-void RolloutDriver::WantWhatIsMissing(Entry& entry) {
+// Requests a write that another decider may have started and not finished.
+void RolloutDriver::RequestMissingWrite(Entry& entry) {
   const RolloutState state = entry.rollout->state();
-  if (!SceneOf(*entry.rollout).decides) return entry.wanted.reset();
+  if (!SceneOf(*entry.rollout).decides) return entry.pending.reset();
   if (state == RolloutState::kUnheard) {
-    Want(entry, RolloutEvent::kBegun);
+    RequestWrite(entry, RolloutEvent::kBegun);
   } else if (state == RolloutState::kWithdrawn) {
-    Want(entry, RolloutEvent::kReverted);
-  } else if (entry.wanted == RolloutEvent::kBegun &&
+    RequestWrite(entry, RolloutEvent::kReverted);
+  } else if (entry.pending == RolloutEvent::kBegun &&
              entry.written.number != 0) {
-    entry.wanted.reset();
+    entry.pending.reset();
   }
 }
 
 void RolloutDriver::Write(const ServiceName& service, Entry& entry) {
-  const RolloutEvent said = *entry.wanted;
+  const RolloutEvent event = *entry.pending;
   const std::string key = reader_.RolloutStatusKey(service);
   StoreWrite write;
   write.conditions.push_back({key, entry.written});
   write.puts.push_back({key,
                         reader_.EncodeRolloutStatus(
-                            {service, entry.rollout->order().version, said}),
+                            {service, entry.rollout->order().version, event}),
                         0});
   entry.call = context_.store.Write(
-      write, [this, service, said](const StoreWritten& it) {
-        OnWritten(service, said, it);
+      write, [this, service, event](const StoreWritten& it) {
+        OnWritten(service, event, it);
       });
 }
 
-void RolloutDriver::OnWritten(const ServiceName& service, RolloutEvent said,
+void RolloutDriver::OnWritten(const ServiceName& service, RolloutEvent event,
                               const StoreWritten& written) {
   Entry& entry = entries_.at(service);
   entry.call.reset();
@@ -246,13 +246,13 @@
       LogEvent(Event::kRolloutWritten,
                {{"service", service.value},
                 {"version", entry.rollout->order().version.value},
-                {"said", std::string(NameOf(said))},
+                {"said", std::string(NameOf(event))},
                 {"revision", ToText(written.revision)}});
-      entry.wanted.reset();
-      entry.rollout->OnStored(said, now);
+      entry.pending.reset();
+      entry.rollout->OnStored(event, now);
       break;
     case StoreEnd::kRejected:
-      OnPresent(entry, written);
+      OnConflict(entry, written);
       break;
     case StoreEnd::kRefused:
     case StoreEnd::kUnknown:
@@ -262,8 +262,8 @@
   CheckOne(service, entry);
 }
 
-// Somebody has written meanwhile.
-void RolloutDriver::OnPresent(Entry& entry, const StoreWritten& written) {
+// Another decider has written the status meanwhile.
+void RolloutDriver::OnConflict(Entry& entry, const StoreWritten& written) {
   entry.written = {};
   for (const StoreItem& it : written.present) {
     entry.written = it.revision;
@@ -273,11 +273,11 @@
     const bool is_of_order = status && status->version == order.version &&
                              it.revision > order.revision;
     if (!is_of_order) continue;
-    const RolloutEvent said = status->said;
-    entry.rollout->OnStored(said, context_.clock.Now());
+    const RolloutEvent event = status->said;
+    entry.rollout->OnStored(event, context_.clock.Now());
     const bool is_there =
-        said != RolloutEvent::kBegun || entry.wanted == RolloutEvent::kBegun;
-    if (is_there) entry.wanted.reset();
+        event != RolloutEvent::kBegun || entry.pending == RolloutEvent::kBegun;
+    if (is_there) entry.pending.reset();
   }
   entry.write_at = context_.clock.Now();
 }
@@ -290,18 +290,18 @@
   }
 }
 
-// What the store says of an order has to be later than the order.
+// The status of an order only counts if it was written after the order.
 void RolloutDriver::Redeclare(Entry& entry) {
   switch (entry.rollout->state()) {
     case RolloutState::kUnheard:
       return;
     case RolloutState::kCompleted:
-      return Want(entry, RolloutEvent::kCompleted);
+      return RequestWrite(entry, RolloutEvent::kCompleted);
     case RolloutState::kReverted:
     case RolloutState::kWithdrawn:
-      return Want(entry, RolloutEvent::kReverted);
+      return RequestWrite(entry, RolloutEvent::kReverted);
     default:
-      return Want(entry, RolloutEvent::kBegun);
+      return RequestWrite(entry, RolloutEvent::kBegun);
   }
 }
 
--- a/relay/rollout_driver.h
+++ b/relay/rollout_driver.h
@@ -1,34 +1,35 @@
 // RolloutDriver carries out operators' orders to move services to other
-// versions: it tells the placement who may get what, the peers what answers
-// have shown, and the store how it stands.
+// versions. It sends the rules to the placement, the evidence of the answers to
+// the peers, and the outcome to the store.
 //
 //   RolloutDriver rollouts({clock, store, chart}, reader, options, handlers);
-//   rollouts.OnOrder(service, order);       // null: there is none any more
+//   rollouts.OnOrder(service, order);       // null: the order was withdrawn
 //   rollouts.OnAnswer(service, version, "review", seen);
-//   rollouts.Check();                       // some times a second
-//   rollouts.Fill(sign);                    // each sign of life
+//   rollouts.Check();                       // several times a second
+//   rollouts.Fill(heartbeat);               // each heartbeat
 //   rollouts.OnPeer(message);
 //
-// What decides stands in rollout/rollout.h. The deciders are the readers of a
+// rollout/rollout.h makes the decisions. The deciders are the readers of a
 // large fleet (relay/state_feed.h) and all routers of a small one.
 //
-// The store's word. A decider writes that a roll-out is running once it has
-// seen the order, and how it ended, each under the condition that nothing was
-// written meanwhile; so the first one to write is right, and a late writer
-// learns from its refusal what stands there. What stands there of an earlier
-// order, or of another version, is no word on this one. A write without an
-// answer is made again, and shows what became of the first. Deciders wait a
-// random time before they write, and most then know that another one has.
+// The status in the store. A decider writes that a roll-out is running once it
+// has seen the order, and later how it ended, each on the condition that the
+// status was not written meanwhile. So the first writer wins, and a later one
+// learns from its rejection what the status is. A status of an earlier order or
+// of another version doesn't count for this one. A write without an answer is
+// repeated, and the answer shows what became of the first. Deciders wait a
+// random time before they write; by then most know that another one has
+// written.
 //
-// Versions that were ordered before and not completed get nothing as long as
-// another version has a target, until they are ordered again: their targets may
-// be there for some seconds more.
+// Versions that were ordered before and not completed get no requests as long
+// as another version has a target, until they are ordered again: their targets
+// may still be there for some seconds.
 //
-// A store in a later era may lack what was written; deciders write it again.
+// A store in a later era may lack the status; deciders write it again.
 //
 // It owns the roll-outs and its calls. Clock, store, reader and chart must
-// outlive it. An order of a version that nobody runs is withdrawn when its time
-// is over. A peer's report on another order changes nothing.
+// outlive it. An order of a version that no target runs is withdrawn when its
+// time is over. A peer's report on another order changes nothing.
 
 #ifndef QUAYTRACK_RELAY_ROLLOUT_DRIVER_H_
 #define QUAYTRACK_RELAY_ROLLOUT_DRIVER_H_
@@ -58,26 +59,26 @@
     const RolloutChart& chart;
   };
   struct Handlers {
-    // `begin` is where this router begins to count (dispatch/version_gate.h).
+    // `begin` is where this router starts to count (dispatch/version_gate.h).
     std::function<void(const ServiceName&, const VersionRule&, double begin)>
         rule;
-    // By this router's list of routers; `has_next` and `running_elsewhere` are
-    // filled in by the two below.
+    // The scene by this router's list of routers; the two handlers below fill
+    // in `has_next` and `running_elsewhere`.
     std::function<RolloutScene()> scene;
     std::function<bool(const ServiceName&, const VersionName&)> has_version;
     std::function<std::size_t(const ServiceName&, const VersionName&)>
         running_elsewhere;
     std::function<bool(const Incarnation&)> is_decider;
-    // Tells the peers at once what is in force here.
+    // Sends a heartbeat to the peers at once.
     std::function<void()> tell;
   };
 
   RolloutDriver(const Context& context, const SharedStateReader& reader,
                 Rollout::Options options, Handlers handlers);
 
-  // Null if there is none any more.
+  // `order` is null if the order was withdrawn.
   void OnOrder(const ServiceName& service, const RolloutOrder* order);
-  // Whether answers of the service are to be reported.
+  // Whether answers of the service are to be passed to `OnAnswer`.
   bool IsJudging(const ServiceName& service) const;
   void OnAnswer(const ServiceName& service, const VersionName& version,
                 const std::string& route, const AnswerSeen& seen);
@@ -86,9 +87,9 @@
   void Check();
   void Fill(PeerMessage& message) const;
 
-  // Null if nothing was ordered.
+  // Null if the service has no order.
   const Rollout* Find(const ServiceName& service) const;
-  // Roll-outs that aren't over.
+  // Number of roll-outs that aren't over.
   std::size_t running() const;
 
  private:
@@ -99,10 +100,10 @@
     VersionRule rule;
     RolloutState logged = RolloutState::kUnheard;
 
-    // What the store is to say, and from when on this router writes it.
-    std::optional<RolloutEvent> wanted;
+    // The status to be written, and the time from which this router writes it.
+    std::optional<RolloutEvent> pending;
     Instant write_at{};
-    // Of what stands there, as far as it is known.
+    // Revision of the status in the store, as far as it is known.
     StoreRevision written;
     KvStore::CallPtr call;
   };
@@ -115,13 +116,13 @@
   void SetRule(const ServiceName& service, Entry& entry);
   void LogState(const ServiceName& service, Entry& entry);
 
-  void Want(Entry& entry, RolloutEvent said);
-  void WantWhatIsMissing(Entry& entry);
+  void RequestWrite(Entry& entry, RolloutEvent event);
+  void RequestMissingWrite(Entry& entry);
   void Redeclare(Entry& entry);
   void Write(const ServiceName& service, Entry& entry);
-  void OnWritten(const ServiceName& service, RolloutEvent said,
+  void OnWritten(const ServiceName& service, RolloutEvent event,
                  const StoreWritten& written);
-  void OnPresent(Entry& entry, const StoreWritten& written);
+  void OnConflict(Entry& entry, const StoreWritten& written);
 
   Context context_;
   const SharedStateReader& reader_;
--- a/relay/target_follower.cc
+++ b/relay/target_follower.cc
@@ -13,35 +13,34 @@
 namespace quaytrack {
 namespace {
 
-// A target whose entry lapsed in an outage is listed again within about 2 s of
-// the store's return, and a target that left may get work until 2 s after that
-// was seen: both are the users' bounds. The value is a little under 2 s for the
-// second, which 2.2 s broke (commit 52d2a90). With 1.7 s, 40 hunt days on each
-// site broke no rule (docs/FINDINGS.md).
+// A target whose entry expired in an outage is listed again within about 2 s of
+// the store's return, and a target that left may get work until 2 s after its
+// entry was seen missing. The value stays below the second bound, which 2.2 s
+// broke. With 1.7 s, 40 simulated days on each site broke no rule.
 constexpr Duration kRelistTime = std::chrono::milliseconds(1700);
 
-// From an answer with changes to the next wait: targets change in series, when
-// a fleet starts or is replaced, and a router that waits anew after each change
-// makes a call for each. A target that leaves says so seconds before it ends.
-// Commit 3f13dcd, one run with other changes beside it: 5,917 store calls of
-// the grown site's quiet-1 to second 22 became 4,124.
+// From an answer with changes to the next wait. Targets change in series, when
+// a fleet starts or is replaced, and a router that starts a new wait after each
+// change makes a call for each. In one run, with other changes beside it, this
+// delay cut the store calls of a starting fleet from 5,917 to 4,124. It does no
+// harm, as a target announces that it leaves seconds before it ends.
 constexpr Duration kTargetSpacing = std::chrono::milliseconds(400);
 
-// How long a router that starts waits for a reader to send the list. In a fleet
-// whose readers are all away, routers then read the store's, spread so that one
-// of them begins in each `kBetweenReadings` on average: a list is some
-// megabytes in a large fleet, and targets and operators use the same store.
-constexpr Duration kReadersSendWithin = std::chrono::milliseconds(1000);
-constexpr Duration kBetweenReadings = std::chrono::milliseconds(20);
+// How long a starting router waits for a reader to send the list. If all
+// readers are away, routers then read it from the store, spread so that one of
+// them starts in each `kReadInterval` on average: the list is some megabytes
+// in a large fleet, and targets and operators use the same store.
+constexpr Duration kReaderTimeout = std::chrono::milliseconds(1000);
+constexpr Duration kReadInterval = std::chrono::milliseconds(20);
 
-void LogLeaving(const TargetEntry& entry, const char* told_by) {
+void LogLeaving(const TargetEntry& entry, const char* source) {
   LogEvent(Event::kTargetLeaving,
            {{"target", entry.name.value},
             {"service", entry.service.value},
             {"address", entry.address},
             {"start", entry.start.value},
             {"cold_ms", MillisecondsText(entry.cold_for)},
-            {"by", told_by}});
+            {"by", source}});
 }
 
 StoreFollower::Options FollowerOptions(const SharedStateReader& reader) {
@@ -65,8 +64,8 @@
 void TargetFollower::Start(std::size_t routers) {
   if (routers == 0) return feed_.Start();
   std::minstd_rand random{std::random_device{}()};
-  const Duration spread = kBetweenReadings * static_cast<long>(routers);
-  feed_.StartFromReaders(kReadersSendWithin + DrawPart(random, spread, 0, 1));
+  const Duration spread = kReadInterval * static_cast<long>(routers);
+  feed_.StartFromReaders(kReaderTimeout + DrawPart(random, spread, 0, 1));
 }
 
 StateFeed::Handlers TargetFollower::StoreHandlers() {
@@ -74,7 +73,7 @@
   on.replaced = [this](const std::vector<StoreItem>& items) { Replace(items); };
   on.changed = [this](const StoreChange& it) {
     if (it.removed) return Remove(reader_.TargetOf(it.item.key));
-    Take(it.item);
+    ApplyEntry(it.item);
   };
   on.settled = [this] {
     on_.changed();
@@ -97,55 +96,58 @@
       read.push_back({std::move(*entry), it.revision});
     }
   }
-  SetAsideUnproven(read);
+  SetAsideUnconfirmed(read);
   std::vector<TargetEntry> entries;
   for (const ReadEntry& it : read) entries.push_back(it.entry);
-  for (const TargetEntry& it : entries) NoticeRestart(it);
+  for (const TargetEntry& it : entries) ReportRestart(it);
   registry_.Replace(entries);
   LogEvent(Event::kTargetsRead, {{"targets", std::to_string(entries.size())}});
 }
 
-// In the first reading of a later era, entries of targets that aren't listed
-// here; in others, those of them that were not written since.
-void TargetFollower::SetAsideUnproven(std::vector<ReadEntry>& read) {
+// Moves unconfirmed entries from `read` to `unconfirmed_`: in the first read of
+// a later era, entries of targets that aren't listed here; in other reads,
+// those that were unconfirmed before and not written since.
+void TargetFollower::SetAsideUnconfirmed(std::vector<ReadEntry>& read) {
   const std::int64_t era = feed_.known().era;
   const bool is_first = era_ && era > *era_;
   era_ = era;
-  std::map<TargetName, ReadEntry> unproven;
+  std::map<TargetName, ReadEntry> unconfirmed;
   for (const ReadEntry& it : read) {
-    const auto before = unproven_.find(it.entry.name);
-    const bool is_unproven = is_first
-                                 ? !registry_.entries().contains(it.entry.name)
-                                 : before != unproven_.end() &&
-                                       before->second.revision == it.revision;
-    if (is_unproven) unproven[it.entry.name] = it;
+    const auto before = unconfirmed_.find(it.entry.name);
+    const bool is_unconfirmed =
+        is_first ? !registry_.entries().contains(it.entry.name)
+                 : before != unconfirmed_.end() &&
+                       before->second.revision == it.revision;
+    if (is_unconfirmed) unconfirmed[it.entry.name] = it;
   }
-  unproven_ = std::move(unproven);
+  unconfirmed_ = std::move(unconfirmed);
   std::erase_if(read, [this](const ReadEntry& it) {
-    return unproven_.contains(it.entry.name);
+    return unconfirmed_.contains(it.entry.name);
   });
   if (!is_first) return;
   registry_.KeepMissing();
   StopKeepingLater();
-  unproven_timer_ = loop_.After(kEntryTellsWithin, [this] { TakeUnproven(); });
+  unconfirmed_timer_ =
+      loop_.After(kEntryTellsWithin, [this] { AcceptUnconfirmed(); });
 }
 
-void TargetFollower::TakeUnproven() {
-  unproven_timer_.reset();
-  if (unproven_.empty()) return;
-  for (const auto& [name, it] : std::exchange(unproven_, {})) {
+void TargetFollower::AcceptUnconfirmed() {
+  unconfirmed_timer_.reset();
+  if (unconfirmed_.empty()) return;
+  for (const auto& [name, it] : std::exchange(unconfirmed_, {})) {
     registry_.Put(it.entry);
   }
   on_.changed();
 }
 
-void TargetFollower::Take(const StoreItem& item) {
-  unproven_.erase(reader_.TargetOf(item.key));
+void TargetFollower::ApplyEntry(const StoreItem& item) {
+  unconfirmed_.erase(reader_.TargetOf(item.key));
   const auto entry = ReadOrLog(item, [&] { return reader_.Target(item); });
-  // What can't be read names no target, whatever stood there before.
+  // An item that can't be read names no target, whatever its previous value
+  // was.
   if (!entry) return Remove(reader_.TargetOf(item.key));
   if (entry->name.empty()) return;
-  NoticeRestart(*entry);
+  ReportRestart(*entry);
   if (!registry_.Put(*entry)) return;
   if (entry->leaving) return LogLeaving(*entry, "entry");
   LogEvent(Event::kTargetSeen,
@@ -156,13 +158,13 @@
             {"cold_ms", MillisecondsText(entry->cold_for)}});
 }
 
-void TargetFollower::NoticeRestart(const TargetEntry& entry) {
+void TargetFollower::ReportRestart(const TargetEntry& entry) {
   if (!on_.restarted || !registry_.StartsAgain(entry)) return;
   on_.restarted(registry_.entries().at(entry.name));
 }
 
 void TargetFollower::Remove(const TargetName& name) {
-  unproven_.erase(name);
+  unconfirmed_.erase(name);
   const auto it = registry_.entries().find(name);
   if (it == registry_.entries().end()) return;
   const TargetEntry entry = it->second;
@@ -184,9 +186,9 @@
 }
 
 bool TargetFollower::MarkLeaving(const TargetName& name, WallTime started_at,
-                                 const char* told_by) {
+                                 const char* source) {
   if (!registry_.MarkLeaving(name, started_at)) return false;
-  LogLeaving(registry_.entries().at(name), told_by);
+  LogLeaving(registry_.entries().at(name), source);
   on_.changed();
   return true;
 }
@@ -207,7 +209,7 @@
     keeping_timer_.reset();
     return;
   }
-  // What waited through the outage may never be answered.
+  // A wait that was open during the outage may never be answered.
   feed_.AskAgain();
   StopKeepingLater();
 }
--- a/relay/work_pacer.h
+++ b/relay/work_pacer.h
@@ -1,14 +1,14 @@
-// WorkPacer bounds the part of the time that a repeated piece of work takes.
+// WorkPacer bounds the share of the time that a repeated task takes.
 //
-//   if (!pacer.MayWork(clock.Now())) return;      // it is tried again later
-//   const Instant begun = clock.Now();
+//   if (!pacer.MayWork(clock.Now())) return;      // a later call tries again
+//   const Instant started = clock.Now();
 //   Work();
-//   pacer.OnWork(begun, clock.Now());
+//   pacer.OnWork(started, clock.Now());
 //
-// After each piece of work it rests `rest` times as long as the work took, up
-// to `longest`. So work that grows with the fleet, or that runs on a small part
-// of a processor, leaves the loop to everything else, and work that takes next
-// to no time isn't held up. It reads no clock.
+// After each run it pauses `rest` times as long as the run took, up to
+// `longest`. So a task that grows with the fleet, or that runs on a small share
+// of a processor, leaves the loop free for everything else, and a task that
+// takes almost no time isn't delayed. WorkPacer reads no clock.
 
 #ifndef QUAYTRACK_RELAY_WORK_PACER_H_
 #define QUAYTRACK_RELAY_WORK_PACER_H_
@@ -21,17 +21,19 @@
 
 class WorkPacer {
  public:
-  WorkPacer(int rest, Duration longest) : rest_(rest), longest_(longest) {}
+  WorkPacer(int rest, Duration longest)
+      : rest_factor_(rest), max_rest_(longest) {}
 
   bool MayWork(Instant now) const { return now >= rest_until_; }
-  void OnWork(Instant begun, Instant ended) {
-    const Duration pause = std::min((ended - begun) * rest_, longest_);
+  void OnWork(Instant started, Instant ended) {
+    const Duration pause =
+        std::min((ended - started) * rest_factor_, max_rest_);
     rest_until_ = std::max(rest_until_, ended + pause);
   }
 
  private:
-  int rest_;
-  Duration longest_;
+  int rest_factor_;
+  Duration max_rest_;
   Instant rest_until_ = Instant::min();
 };
 
