--- a/relay/testing/budgets_test.cc
+++ b/relay/testing/budgets_test.cc
@@ -1,8 +1,8 @@
-// A router's budgets as a whole: requests that hold and wait, the store with
-// its answers and without them, and peers that ask and give. The loop and its
-// timers are real; the clock can be stopped, so that limits of time are tested
-// to the millisecond on any machine. The store is a map, and peers are lists of
-// messages.
+// A router's budgets with all their parts: requests that hold and wait, the
+// store with and without answers, and peers that request and transfer grant.
+// The loop and its timers are real; the clock can be stopped, so that time
+// limits are tested to the millisecond on any machine. The store is a map, and
+// peers are lists of messages.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -25,10 +25,10 @@
 const CustomerName kCustomer("clinic");
 const Incarnation kSelf("vm1@1");
 const Incarnation kPeer("vm2@1");
-// Only bounds a test that hangs; nothing is expected to take so long.
-constexpr Duration kLongest = seconds(10);
+// Ends a test that hangs; nothing is expected to take so long.
+constexpr Duration kTestTimeout = seconds(10);
 
-// The machine's clock until it is stopped; then only `Advance` moves it.
+// Follows the system clock until it is stopped; then only `Advance` moves it.
 class TestClock final : public Clock {
  public:
   Instant Now() const override { return stopped_ ? at_ : SystemClock().Now(); }
@@ -44,11 +44,11 @@
   Instant at_{};
 };
 
-// What a store does with calls.
+// How the store treats calls.
 enum class StoreMode {
   kNormal,
-  kSilent,       // takes calls and never answers
-  kLosesWrites,  // they aren't done, and end without an answer
+  kSilent,       // accepts calls and never answers
+  kLosesWrites,  // writes aren't applied, and end without an answer
   kAway,         // calls end without an answer
 };
 
@@ -174,7 +174,7 @@
       broadcasts.push_back({{}, it});
     };
     on.tell = [this](const Incarnation& to, const PeerMessage& it) {
-      told.push_back({to, it});
+      unicasts.push_back({to, it});
     };
     on.linked = [this](const VmName& vm) {
       return Incarnation(linked ? vm.value + "@1" : "");
@@ -194,7 +194,7 @@
     budgets.SetConfig(ServiceMap(version, {}, {}, {rule}, {}));
   }
 
-  // Starts, and waits until this router has its part of the budget.
+  // Starts, and waits until this router has its share of the budget.
   void Join() {
     Configure();
     budgets.Start();
@@ -202,24 +202,25 @@
     BOOST_REQUIRE(RunUntil([&] { return Allowance() > 0; }));
   }
 
-  // The same, and then time stands still.
-  void JoinAndStop(StoreMode mode = StoreMode::kSilent) {
+  // The same, and then stops the clock.
+  void JoinAndStopClock(StoreMode mode = StoreMode::kSilent) {
     Join();
     store.mode = mode;
     clock.Stop();
-    // Past the shortest time between two writes.
+    // Past the minimum time between two writes.
     clock.Advance(PrepaidPolicy().urgent_spacing);
   }
 
-  bool RunUntil(const std::function<bool()>& done, Duration most = kLongest) {
+  bool RunUntil(const std::function<bool()>& done,
+                Duration max_time = kTestTimeout) {
     const auto watch = loop.Every(milliseconds(1), [&] {
       if (done()) loop.Stop();
     });
-    const auto end = loop.After(most, [&] { loop.Stop(); });
+    const auto end = loop.After(max_time, [&] { loop.Stop(); });
     if (!done()) loop.Run();
     return done();
   }
-  // A few rounds of each timer, for what must not happen.
+  // Runs each timer a few times, to show that something doesn't happen.
   void RunSome() {
     RunUntil([] { return false; }, milliseconds(50));
   }
@@ -236,16 +237,17 @@
   PrepaidRecord Record() const {
     return *DecodePrepaid(store.items.at(kRecordKey).value);
   }
-  // What this router has reported as spent, in its account and in the record.
+  // The tokens that this router has reported as spent, in its account and in
+  // the record.
   Tokens Reported() {
     Tokens out = Record().customers[kCustomer].settled;
     const auto it = store.items.find("quaytrack/spend/" + kSelf.value);
     if (it == store.items.end()) return out;
     return out + DecodeSpend(it->second.value)->customers[kCustomer].spent;
   }
-  std::vector<Sent> ToldOf(PeerMessageKind kind) const {
+  std::vector<Sent> UnicastsOf(PeerMessageKind kind) const {
     std::vector<Sent> out;
-    for (const Sent& it : told) {
+    for (const Sent& it : unicasts) {
       if (it.message.kind == kind) out.push_back(it);
     }
     return out;
@@ -269,7 +271,7 @@
   bool linked = true;
   std::vector<std::string> order;
   std::vector<Sent> broadcasts;
-  std::vector<Sent> told;
+  std::vector<Sent> unicasts;
   std::vector<bool> reachable;
   BudgetDriver budgets;
 };
@@ -277,20 +279,20 @@
 // --- Holds and costs ---------------------------------------------------------
 
 BOOST_FIXTURE_TEST_CASE(AHoldIsCountedOnceAndSettledAtItsCost, Fixture) {
-  JoinAndStop();
+  JoinAndStopClock();
   const Tokens before = Allowance();
   const WaiterPtr it = Make("r", 1000);
   BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kHeld));
   BOOST_TEST(Allowance() == before - 1000);
   budgets.Settle(*it, 400);
   BOOST_TEST(Allowance() == before - 400);
-  // Told by what `Hold` returned, and not a second time.
+  // `Hold` returned the answer; it isn't repeated through the callbacks.
   RunSome();
   BOOST_TEST(it->answers() == 0);
 }
 
 BOOST_FIXTURE_TEST_CASE(TheStoreIsToldWhatWasSpent, Fixture) {
-  JoinAndStop(StoreMode::kNormal);
+  JoinAndStopClock(StoreMode::kNormal);
   const WaiterPtr it = Make("r", 1000);
   BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kHeld));
   budgets.Settle(*it, 400);
@@ -312,7 +314,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(WhatTheBudgetCantHoldDoesntQueue, Fixture) {
-  JoinAndStop();
+  JoinAndStopClock();
   const WaiterPtr it = Make("r", 40000);
   BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
   BOOST_TEST(
@@ -321,9 +323,9 @@
   BOOST_TEST(it->answers() == 0);
 }
 
-// Not once those before it are through.
+// The refusal doesn't wait for the requests before it.
 BOOST_FIXTURE_TEST_CASE(ALoweredLimitRefusesWhatItCantHoldInTheQueue, Fixture) {
-  JoinAndStop();
+  JoinAndStopClock();
   const WaiterPtr first = Make("first", 40000);
   const WaiterPtr large = Make("large", 50000);
   const WaiterPtr last = Make("last", 30000);
@@ -342,7 +344,7 @@
 // --- Waiting -----------------------------------------------------------------
 
 BOOST_FIXTURE_TEST_CASE(AWaitingRequestIsHeldOnceTheStoreGrantsMore, Fixture) {
-  JoinAndStop(StoreMode::kNormal);
+  JoinAndStopClock(StoreMode::kNormal);
   const WaiterPtr it = Make("r", 40000);
   BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
   BOOST_TEST(Answered(*it));
@@ -354,14 +356,14 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(ASmallRequestDoesntOvertakeOneThatWaits, Fixture) {
-  JoinAndStop();
+  JoinAndStopClock();
   const WaiterPtr large = Make("large", 40000);
   const WaiterPtr small = Make("small", 1);
   BOOST_TEST((budgets.Hold(large) == PrepaidVerdict::kShort));
   BOOST_TEST((budgets.Hold(small) == PrepaidVerdict::kShort));
   RunSome();
   BOOST_TEST(order.empty());
-  // What a peer transfers serves both, in their order.
+  // A peer's transfer serves both, in their order.
   budgets.OnPeer(Message(PeerMessageKind::kTransfer, 40000));
   BOOST_TEST(RunUntil([&] { return order.size() == 2; }));
   const std::vector<std::string> expected = {"large", "small"};
@@ -371,7 +373,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(AWaitEndsAfterItsPatience, Fixture) {
-  JoinAndStop();
+  JoinAndStopClock();
   const WaiterPtr it = Make("r", 40000);
   BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
   clock.Advance(milliseconds(159));
@@ -386,9 +388,10 @@
   BOOST_TEST(it->answers() == 1);
 }
 
-// First for half of what they don't use, with something to spare, then for all.
+// The first request is for half of what peers don't use and includes something
+// to spare; the second is for all of it.
 BOOST_FIXTURE_TEST_CASE(PeersAreAskedTwiceForOneThatWaits, Fixture) {
-  JoinAndStop();
+  JoinAndStopClock();
   const Tokens allowance = Allowance();
   const WaiterPtr it = Make("r", 20000);
   BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
@@ -416,10 +419,10 @@
   BOOST_TEST(broadcasts[1].message.amount == 20000 - allowance);
 }
 
-// Asked for beyond what waits: what was held in the last second, if that is
-// more than 30,000 tokens.
+// The amount requested beyond what waits is what was held in the last second,
+// if that is more than 30,000 tokens.
 BOOST_FIXTURE_TEST_CASE(PeersAreAskedForWhatWasHeldLately, Fixture) {
-  JoinAndStop();
+  JoinAndStopClock();
   const Tokens allowance = Allowance();
   const WaiterPtr it = Make("r", 60000);
   BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
@@ -431,8 +434,8 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(PeersAreAskedAtOnceWhileTheStoreIsAway, Fixture) {
-  JoinAndStop(StoreMode::kAway);
-  // A first cost makes a write due, whose end shows that the store is away.
+  JoinAndStopClock(StoreMode::kAway);
+  // A first cost makes a write due, and its end shows that the store is lost.
   const WaiterPtr first = Make("first", 1000);
   BOOST_TEST((budgets.Hold(first) == PrepaidVerdict::kHeld));
   budgets.Settle(*first, 1000);
@@ -446,7 +449,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(AForgottenRequestIsNotAnswered, Fixture) {
-  JoinAndStop();
+  JoinAndStopClock();
   const WaiterPtr it = Make("r", 40000);
   const WaiterPtr next = Make("next", 1);
   BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
@@ -459,13 +462,13 @@
   clock.Advance(seconds(1));
   RunSome();
   BOOST_TEST(it->answers() == 0);
-  // The peer's token went to the other.
+  // The peer's token went to the other request.
   BOOST_TEST(Allowance() == before);
 }
 
-// Nothing else happens that could serve it.
+// No other event could serve the next request.
 BOOST_FIXTURE_TEST_CASE(WhoLeavesTheQueueLetsTheNextBeHeld, Fixture) {
-  JoinAndStop();
+  JoinAndStopClock();
   const WaiterPtr large = Make("large", 40000);
   const WaiterPtr small = Make("small", 1);
   BOOST_TEST((budgets.Hold(large) == PrepaidVerdict::kShort));
@@ -478,7 +481,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(WhoIsRefusedLetsTheNextBeHeld, Fixture) {
-  JoinAndStop();
+  JoinAndStopClock();
   const WaiterPtr large = Make("large", 40000);
   BOOST_TEST((budgets.Hold(large) == PrepaidVerdict::kShort));
   clock.Advance(milliseconds(100));
@@ -490,9 +493,9 @@
   BOOST_TEST(small->held == 1);
 }
 
-// A hold that ends lets the next one in.
+// A settled hold makes room for the next one.
 BOOST_FIXTURE_TEST_CASE(ASettledHoldServesWhoWaits, Fixture) {
-  JoinAndStop();
+  JoinAndStopClock();
   const WaiterPtr first = Make("first", Allowance());
   BOOST_TEST((budgets.Hold(first) == PrepaidVerdict::kHeld));
   const WaiterPtr next = Make("next", 500);
@@ -505,7 +508,7 @@
 // --- The store ---------------------------------------------------------------
 
 BOOST_FIXTURE_TEST_CASE(AWriteWithoutAnAnswerGrantsNothing, Fixture) {
-  JoinAndStop(StoreMode::kLosesWrites);
+  JoinAndStopClock(StoreMode::kLosesWrites);
   const Tokens before = Allowance();
   const std::uint64_t writes = store.writes;
   const WaiterPtr it = Make("r", 40000);
@@ -519,10 +522,10 @@
   BOOST_TEST(it->held == 0);
 }
 
-// Other routers change the record all the time; a read for each would double
-// the calls.
+// Guards against a read for each change that another router makes to the
+// record, which would double the calls.
 BOOST_FIXTURE_TEST_CASE(ARejectedWriteUsesTheRecordThatItWasShown, Fixture) {
-  JoinAndStop(StoreMode::kNormal);
+  JoinAndStopClock(StoreMode::kNormal);
   PrepaidRecord record = Record();
   record.members.insert(Incarnation("vm3@1"));
   store.Put(kRecordKey, EncodePrepaid(record));
@@ -535,10 +538,10 @@
   BOOST_TEST(Record().members.size() == 3U);
 }
 
-// Someone else's write of this router's account shows nothing that can be
-// trusted without a read.
+// Another writer's change of this router's account can't be trusted without a
+// read.
 BOOST_FIXTURE_TEST_CASE(AnAccountThatHasChangedIsRead, Fixture) {
-  JoinAndStop(StoreMode::kNormal);
+  JoinAndStopClock(StoreMode::kNormal);
   const std::string key = "quaytrack/spend/" + kSelf.value;
   store.Put(key, store.items.at(key).value);
   const std::uint64_t reads = store.reads;
@@ -574,14 +577,14 @@
   BOOST_TEST(record.customers[kCustomer].Outstanding() == 0);
 }
 
-// Nothing is granted to it any more, by the store or by peers.
+// Neither the store nor peers grant anything to a router that was replaced.
 BOOST_FIXTURE_TEST_CASE(AReplacedRouterLetsNothingWait, Fixture) {
-  JoinAndStop(StoreMode::kNormal);
+  JoinAndStopClock(StoreMode::kNormal);
   store.items.erase("quaytrack/spend/" + kSelf.value);
   PrepaidRecord record = Record();
   record.members.erase(kSelf);
   store.Put(kRecordKey, EncodePrepaid(record));
-  // Its write is rejected, and a read shows why.
+  // The router's write is rejected, and a read shows why.
   const WaiterPtr first = Make("first", 40000);
   BOOST_TEST((budgets.Hold(first) == PrepaidVerdict::kShort));
   BOOST_TEST(Answered(*first));
@@ -609,33 +612,34 @@
 // --- Peers -------------------------------------------------------------------
 
 BOOST_FIXTURE_TEST_CASE(AnAskIsGivenOnceAndTakenOff, Fixture) {
-  JoinAndStop();
+  JoinAndStopClock();
   const Tokens before = Allowance();
-  PeerMessage ask = Message(PeerMessageKind::kTransferWanted, 1000);
-  ask.all = true;
-  budgets.OnPeer(ask);
-  const auto moves = ToldOf(PeerMessageKind::kTransfer);
-  BOOST_REQUIRE(moves.size() == 1U);
-  BOOST_TEST(moves[0].to.value == kPeer.value);
-  BOOST_TEST(moves[0].message.amount == 1000);
+  PeerMessage request = Message(PeerMessageKind::kTransferWanted, 1000);
+  request.all = true;
+  budgets.OnPeer(request);
+  const auto transfers = UnicastsOf(PeerMessageKind::kTransfer);
+  BOOST_REQUIRE(transfers.size() == 1U);
+  BOOST_TEST(transfers[0].to.value == kPeer.value);
+  BOOST_TEST(transfers[0].message.amount == 1000);
   BOOST_TEST(Allowance() == before - 1000);
-  // What is told is the sum of all that was given.
-  budgets.OnPeer(ask);
-  BOOST_TEST(ToldOf(PeerMessageKind::kTransfer).back().message.amount == 2000);
+  // The message holds the running total of all transfers.
+  budgets.OnPeer(request);
+  BOOST_TEST(UnicastsOf(PeerMessageKind::kTransfer).back().message.amount ==
+             2000);
   BOOST_TEST(Allowance() == before - 2000);
 }
 
 BOOST_FIXTURE_TEST_CASE(AnAskForSomeLeavesHalf, Fixture) {
-  JoinAndStop();
+  JoinAndStopClock();
   const Tokens before = Allowance();
   budgets.OnPeer(Message(PeerMessageKind::kTransferWanted, kLimit));
-  const auto moves = ToldOf(PeerMessageKind::kTransfer);
-  BOOST_REQUIRE(moves.size() == 1U);
-  BOOST_TEST(moves[0].message.amount == before / 2);
+  const auto transfers = UnicastsOf(PeerMessageKind::kTransfer);
+  BOOST_REQUIRE(transfers.size() == 1U);
+  BOOST_TEST(transfers[0].message.amount == before / 2);
 }
 
 BOOST_FIXTURE_TEST_CASE(AMoveThatComesTwiceCountsOnce, Fixture) {
-  JoinAndStop();
+  JoinAndStopClock();
   const Tokens before = Allowance();
   budgets.OnPeer(Message(PeerMessageKind::kTransfer, 700));
   budgets.OnPeer(Message(PeerMessageKind::kTransfer, 700));
@@ -643,42 +647,42 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(APeersHoldIsKeptUntilItsCostIsTold, Fixture) {
-  JoinAndStop();
+  JoinAndStopClock();
   const Tokens before = Allowance();
   budgets.OnPeer(Message(PeerMessageKind::kHoldWanted, 1000, "r"));
   budgets.OnPeer(Message(PeerMessageKind::kHoldWanted, 1000, "r"));
-  const auto answers = ToldOf(PeerMessageKind::kHoldAnswer);
+  const auto answers = UnicastsOf(PeerMessageKind::kHoldAnswer);
   BOOST_REQUIRE(answers.size() == 1U);
   BOOST_TEST((answers[0].message.answer == HoldAnswer::kHeld));
   BOOST_TEST(answers[0].message.from.value == kSelf.value);
   BOOST_TEST(Allowance() == before - 1000);
   budgets.OnPeer(Message(PeerMessageKind::kSettle, 300, "r"));
   budgets.OnPeer(Message(PeerMessageKind::kSettle, 300, "r"));
-  BOOST_TEST(ToldOf(PeerMessageKind::kSettled).size() == 2U);
+  BOOST_TEST(UnicastsOf(PeerMessageKind::kSettled).size() == 2U);
   BOOST_TEST(Allowance() == before - 300);
 }
 
 BOOST_FIXTURE_TEST_CASE(APeersHoldWaitsLikeAnyOther, Fixture) {
-  JoinAndStop();
+  JoinAndStopClock();
   budgets.OnPeer(Message(PeerMessageKind::kHoldWanted, 40000, "r"));
-  BOOST_TEST(ToldOf(PeerMessageKind::kHoldAnswer).empty());
+  BOOST_TEST(UnicastsOf(PeerMessageKind::kHoldAnswer).empty());
   clock.Advance(milliseconds(160));
   const auto answered = [&] {
-    return !ToldOf(PeerMessageKind::kHoldAnswer).empty();
+    return !UnicastsOf(PeerMessageKind::kHoldAnswer).empty();
   };
   BOOST_REQUIRE(RunUntil(answered));
-  const auto answers = ToldOf(PeerMessageKind::kHoldAnswer);
+  const auto answers = UnicastsOf(PeerMessageKind::kHoldAnswer);
   BOOST_TEST((answers[0].message.answer == HoldAnswer::kShort));
 }
 
-// Its configuration is older or newer than the asker's. What it held for the
-// asker it would not count.
+// The holder's configuration is older or newer than the requester's. It
+// wouldn't count what it held for the requester.
 BOOST_FIXTURE_TEST_CASE(AHolderThatDoesntKnowTheBudgetHoldsNothing, Fixture) {
-  JoinAndStop();
-  PeerMessage ask = Message(PeerMessageKind::kHoldWanted, 1000, "r");
-  ask.customer = CustomerName("newcomer");
-  budgets.OnPeer(ask);
-  const auto answers = ToldOf(PeerMessageKind::kHoldAnswer);
+  JoinAndStopClock();
+  PeerMessage request = Message(PeerMessageKind::kHoldWanted, 1000, "r");
+  request.customer = CustomerName("newcomer");
+  budgets.OnPeer(request);
+  const auto answers = UnicastsOf(PeerMessageKind::kHoldAnswer);
   BOOST_REQUIRE(answers.size() == 1U);
   BOOST_TEST((answers[0].message.answer == HoldAnswer::kElsewhere));
 }
@@ -687,14 +691,14 @@
   Join();
   budgets.StopServing();
   budgets.OnPeer(Message(PeerMessageKind::kHoldWanted, 1000, "r"));
-  const auto answers = ToldOf(PeerMessageKind::kHoldAnswer);
+  const auto answers = UnicastsOf(PeerMessageKind::kHoldAnswer);
   BOOST_REQUIRE(answers.size() == 1U);
   BOOST_TEST((answers[0].message.answer == HoldAnswer::kElsewhere));
 }
 
-// A router that keeps no grants; `holder` does.
-struct AskerFixture : Fixture {
-  AskerFixture() : Fixture(OneHolder()) {
+// A router that keeps no grants; `holder` keeps some.
+struct RequesterFixture : Fixture {
+  RequesterFixture() : Fixture(OneHolder()) {
     std::vector<FleetMember> members;
     for (const char* it : {"vm2", "vm3", "vm4", "vm5"}) {
       members.push_back({VmName(it), HallName("a"), "h:2"});
@@ -721,27 +725,27 @@
   Incarnation holder;
 };
 
-BOOST_FIXTURE_TEST_CASE(WithoutAGrantAHolderIsAskedAndTold, AskerFixture) {
+BOOST_FIXTURE_TEST_CASE(WithoutAGrantAHolderIsAskedAndTold, RequesterFixture) {
   const WaiterPtr it = Make("r", 1000);
   BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
-  const auto asks = ToldOf(PeerMessageKind::kHoldWanted);
-  BOOST_REQUIRE(asks.size() == 1U);
-  BOOST_TEST(asks[0].to.value == holder.value);
-  BOOST_TEST(asks[0].message.amount == 1000);
+  const auto requests = UnicastsOf(PeerMessageKind::kHoldWanted);
+  BOOST_REQUIRE(requests.size() == 1U);
+  BOOST_TEST(requests[0].to.value == holder.value);
+  BOOST_TEST(requests[0].message.amount == 1000);
   budgets.OnPeer(FromHolder(PeerMessageKind::kHoldAnswer, HoldAnswer::kHeld));
   BOOST_TEST(Answered(*it));
   BOOST_TEST(it->held == 1);
   budgets.Settle(*it, 400);
-  const auto costs = ToldOf(PeerMessageKind::kSettle);
+  const auto costs = UnicastsOf(PeerMessageKind::kSettle);
   BOOST_REQUIRE(costs.size() == 1U);
   BOOST_TEST(costs[0].message.amount == 400);
-  // Until the holder acknowledges it.
-  BOOST_TEST(
-      RunUntil([&] { return ToldOf(PeerMessageKind::kSettle).size() > 1; }));
+  // The cost is sent until the holder acknowledges it.
+  BOOST_TEST(RunUntil(
+      [&] { return UnicastsOf(PeerMessageKind::kSettle).size() > 1; }));
   BOOST_TEST(store.writes == 0U);
 }
 
-// A router of a large fleet that has just started under traffic.
+// A router of a large fleet that has just started and already gets requests.
 struct EarlyFixture : Fixture {
   EarlyFixture() : Fixture(FleetOptions(), false) {
     Configure();
@@ -770,7 +774,7 @@
   BOOST_TEST(it->answers() == 0);
   ReadFleet();
   BOOST_REQUIRE(!fleet.IsHolder(VmName("vm1")));
-  BOOST_TEST(ToldOf(PeerMessageKind::kHoldWanted).size() == 1U);
+  BOOST_TEST(UnicastsOf(PeerMessageKind::kHoldWanted).size() == 1U);
   BOOST_TEST(!budgets.ledger().KeepsGrants());
 }
 
@@ -791,10 +795,10 @@
   ReadFleet();
   RunSome();
   BOOST_TEST(it->answers() == 0);
-  BOOST_TEST(ToldOf(PeerMessageKind::kHoldWanted).empty());
+  BOOST_TEST(UnicastsOf(PeerMessageKind::kHoldWanted).empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(AHoldersNoIsPassedOn, AskerFixture) {
+BOOST_FIXTURE_TEST_CASE(AHoldersNoIsPassedOn, RequesterFixture) {
   const WaiterPtr it = Make("r", 1000);
   BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
   budgets.OnPeer(
@@ -804,7 +808,7 @@
   BOOST_TEST(it->was_exhausted);
 }
 
-BOOST_FIXTURE_TEST_CASE(AnAskWithoutAnAnswerEnds, AskerFixture) {
+BOOST_FIXTURE_TEST_CASE(AnAskWithoutAnAnswerEnds, RequesterFixture) {
   clock.Stop();
   const WaiterPtr it = Make("r", 1000);
   BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
@@ -815,17 +819,17 @@
   BOOST_TEST(Answered(*it));
   BOOST_TEST(it->refused == 1);
   BOOST_TEST(!it->was_exhausted);
-  // The holder may have held it, and is told that nothing ran.
-  const auto costs = ToldOf(PeerMessageKind::kSettle);
+  // The holder may hold the amount, and is notified that nothing ran.
+  const auto costs = UnicastsOf(PeerMessageKind::kSettle);
   BOOST_REQUIRE(!costs.empty());
   BOOST_TEST(costs[0].message.amount == 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(AForgottenAskIsTakenBack, AskerFixture) {
+BOOST_FIXTURE_TEST_CASE(AForgottenAskIsTakenBack, RequesterFixture) {
   const WaiterPtr it = Make("r", 1000);
   BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
   budgets.Forget(it);
-  BOOST_TEST(ToldOf(PeerMessageKind::kSettle).size() == 1U);
+  BOOST_TEST(UnicastsOf(PeerMessageKind::kSettle).size() == 1U);
   budgets.OnPeer(FromHolder(PeerMessageKind::kHoldAnswer, HoldAnswer::kHeld));
   RunSome();
   BOOST_TEST(it->answers() == 0);
--- a/relay/testing/config_follower_test.cc
+++ b/relay/testing/config_follower_test.cc
@@ -1,5 +1,5 @@
-// Which configuration is taken, from the store and from peers, and when a peer
-// is asked for one.
+// Which configuration is adopted from the store and from peers, and when a
+// request goes to a peer.
 
 #include "relay/config_follower.h"
 
@@ -15,19 +15,19 @@
 using std::chrono::milliseconds;
 
 const Incarnation kPeer{"vm-2@1"};
-// Beyond the time that the own watch is given before a peer is asked.
-constexpr Duration kAskedBy = milliseconds(450);
+// Longer than the router's own wait is given before a request goes to a peer.
+constexpr Duration kRequestSentBy = milliseconds(450);
 
 struct Fixture {
   Fixture()
       : follower({loop, clock, store, TheFeedChart()}, reader,
                  {[this] {
-                    ++taken;
+                    ++adoptions;
                     if (adopted) adopted();
                   },
                   [this](const Incarnation& to, const PeerMessage& it) {
                     BOOST_TEST((to == kPeer));
-                    told.push_back(it);
+                    sent.push_back(it);
                   },
                   [](bool) {}}) {
     follower.Start();
@@ -39,7 +39,7 @@
   void StoreHas(const std::string& value) {
     BOOST_TEST(store.AnswerRange("c/", {StoreEnd::kDone, 1, {Item(value)}}));
   }
-  // Several changes in one answer.
+  // Answers the wait with several changes.
   void StoreShows(const std::vector<std::string>& values) {
     StoreChanges out;
     out.end = StoreEnd::kDone;
@@ -67,9 +67,9 @@
   Loop loop;
   ScriptedStore store;
   PlainStateReader reader;
-  int taken = 0;
+  int adoptions = 0;
   std::function<void()> adopted;
-  std::vector<PeerMessage> told;
+  std::vector<PeerMessage> sent;
   ConfigFollower follower;
 };
 
@@ -79,12 +79,12 @@
   BOOST_TEST(follower.version() == 5U);
   StoreShows({"4", "5"});
   BOOST_TEST(follower.version() == 5U);
-  BOOST_TEST(taken == 1);
-  // The next wait comes a little after an answer with changes.
+  BOOST_TEST(adoptions == 1);
+  // The next wait starts some time after an answer with changes.
   RunFor(loop, milliseconds(300));
   StoreShows({"6"});
   BOOST_TEST(follower.version() == 6U);
-  BOOST_TEST(taken == 2);
+  BOOST_TEST(adoptions == 2);
 }
 
 BOOST_FIXTURE_TEST_CASE(OnlyAHigherVersionIsTakenFromAPeer, Fixture) {
@@ -92,10 +92,10 @@
   PeerSends("4");
   PeerSends("5");
   BOOST_TEST(follower.version() == 5U);
-  BOOST_TEST(taken == 1);
+  BOOST_TEST(adoptions == 1);
   PeerSends("7");
   BOOST_TEST(follower.version() == 7U);
-  // A store that is behind that peer takes nothing back.
+  // A store that is behind that peer doesn't revert the configuration.
   StoreShows({"6"});
   BOOST_TEST(follower.version() == 7U);
 }
@@ -105,38 +105,38 @@
   StoreShows({"six"});
   PeerSends("seven");
   BOOST_TEST(follower.version() == 5U);
-  BOOST_TEST(taken == 1);
+  BOOST_TEST(adoptions == 1);
 }
 
 BOOST_FIXTURE_TEST_CASE(APeerThatHasANewerOneIsAsked, Fixture) {
   StoreHas("5");
   PeerHasVersion(6);
   RunFor(loop, milliseconds(100));
-  // The own watch is given a moment first.
-  BOOST_TEST(told.empty());
-  RunFor(loop, kAskedBy);
-  BOOST_REQUIRE(told.size() == 1U);
-  BOOST_TEST((told[0].kind == PeerMessageKind::kConfigWanted));
-  // It may not answer, or the question may be lost.
+  // The router's own wait comes first.
+  BOOST_TEST(sent.empty());
+  RunFor(loop, kRequestSentBy);
+  BOOST_REQUIRE(sent.size() == 1U);
+  BOOST_TEST((sent[0].kind == PeerMessageKind::kConfigWanted));
+  // The peer may not answer, or the request may be lost.
   PeerHasVersion(6);
-  RunFor(loop, kAskedBy);
-  BOOST_TEST(told.size() == 2U);
+  RunFor(loop, kRequestSentBy);
+  BOOST_TEST(sent.size() == 2U);
 }
 
 BOOST_FIXTURE_TEST_CASE(NoPeerIsAskedForWhatTheOwnWatchBrings, Fixture) {
   StoreHas("5");
   PeerHasVersion(6);
   StoreShows({"6"});
-  RunFor(loop, kAskedBy);
-  BOOST_TEST(told.empty());
+  RunFor(loop, kRequestSentBy);
+  BOOST_TEST(sent.empty());
 }
 
 BOOST_FIXTURE_TEST_CASE(APeerThatHasNoNewerOneIsNotAsked, Fixture) {
   StoreHas("5");
   PeerHasVersion(5);
   PeerHasVersion(4);
-  RunFor(loop, kAskedBy);
-  BOOST_TEST(told.empty());
+  RunFor(loop, kRequestSentBy);
+  BOOST_TEST(sent.empty());
 }
 
 // --- Closed halls ------------------------------------------------------------
@@ -176,34 +176,34 @@
 BOOST_FIXTURE_TEST_CASE(APeerTellsOfHallsWithEachSignAndConfiguration,
                         HallsFixture) {
   StoreHas("5");
-  PeerMessage sign;
-  sign.halls[HallName("b")] = {7, true};
-  follower.OnPeer(sign);
+  PeerMessage heartbeat;
+  heartbeat.halls[HallName("b")] = {7, true};
+  follower.OnPeer(heartbeat);
   BOOST_TEST(IsClosed("b"));
-  PeerMessage wanted;
-  wanted.kind = PeerMessageKind::kConfigWanted;
-  wanted.from = kPeer;
-  follower.OnPeer(wanted);
-  BOOST_REQUIRE(told.size() == 1U);
-  BOOST_TEST(told[0].halls.at(HallName("b")).closed);
-  // A store that is behind that peer opens nothing.
+  PeerMessage request;
+  request.kind = PeerMessageKind::kConfigWanted;
+  request.from = kPeer;
+  follower.OnPeer(request);
+  BOOST_REQUIRE(sent.size() == 1U);
+  BOOST_TEST(sent[0].halls.at(HallName("b")).closed);
+  // A store that is behind that peer doesn't reopen the hall.
   StoreChange({{"c/closed/b", "", 6}, true});
   BOOST_TEST(IsClosed("b"));
 }
 
 BOOST_FIXTURE_TEST_CASE(APeerThatAsksIsSentWhatIsInForce, Fixture) {
-  PeerMessage wanted;
-  wanted.kind = PeerMessageKind::kConfigWanted;
-  wanted.from = kPeer;
-  follower.OnPeer(wanted);
-  BOOST_TEST(told.empty());
+  PeerMessage request;
+  request.kind = PeerMessageKind::kConfigWanted;
+  request.from = kPeer;
+  follower.OnPeer(request);
+  BOOST_TEST(sent.empty());
   StoreHas("5");
   StoreShows({"4"});
-  follower.OnPeer(wanted);
-  BOOST_REQUIRE(told.size() == 1U);
-  BOOST_TEST((told[0].kind == PeerMessageKind::kConfig));
-  BOOST_TEST(told[0].item_key == "c/config");
-  BOOST_TEST(told[0].item_value == "5");
+  follower.OnPeer(request);
+  BOOST_REQUIRE(sent.size() == 1U);
+  BOOST_TEST((sent[0].kind == PeerMessageKind::kConfig));
+  BOOST_TEST(sent[0].item_key == "c/config");
+  BOOST_TEST(sent[0].item_value == "5");
 }
 
 }  // namespace
--- a/relay/testing/feed_era_property_test.cc
+++ b/relay/testing/feed_era_property_test.cc
@@ -1,8 +1,8 @@
 // Random histories of a store that comes back from older copies of itself, and
-// what the routers of a fleet know of it.
+// the state that the routers of a fleet have of it.
 //
-// The rules: what a router has is what the store had at one revision of one
-// era, which never goes back; and in the end it is what the store has.
+// The rules: a router's state is that of the store at one revision of one era,
+// which never goes back; and in the end it equals the store's state.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -18,21 +18,21 @@
 
 constexpr std::uint32_t kHistories = 20;
 
-// A fleet, small (no readers) or large, whose routers learn of each return at
-// different times: some are cut off from the store, and messages are lost,
-// repeated and reordered.
+// A fleet, small (no readers) or large, whose routers learn of each return of
+// the store at different times: some are cut off from the store, and messages
+// are lost, repeated and reordered.
 class World {
  public:
   World(std::uint32_t seed, int readers) : random_(seed) {
     for (int n = 0; n < kRouters; ++n) {
       fleet_.Add("vm" + std::to_string(n), n < readers);
     }
-    fleet_.store.NameEras();
+    fleet_.store.StartEras();
     Change();
     fleet_.StartAll();
   }
 
-  // Whether all routers know in the end what the store has.
+  // Whether all routers have the store's state in the end.
   bool Run() {
     fleet_.brief_turns = true;
     for (int n = 0; n < kSteps; ++n) {
@@ -40,8 +40,8 @@
       CheckKnown();
     }
     for (auto& it : fleet_.nodes) it->client.cut = false;
-    // A wait that was swallowed is asked again; what is known comes with the
-    // first change after it.
+    // A wait that was lost is started again; the state arrives with the first
+    // change after it.
     for (int n = 0; n < kCalmRounds; ++n) {
       fleet_.clock.now += milliseconds(900);
       Change();
@@ -49,8 +49,8 @@
         it->feed.AskAgain();
         it->feed.Check();
       }
-      fleet_.Spread();
-      fleet_.BroadcastSigns();
+      fleet_.Propagate();
+      fleet_.BroadcastHeartbeats();
       fleet_.Turn();
     }
     const FeedItems now = fleet_.store.ItemsAt(fleet_.store.revision());
@@ -97,9 +97,9 @@
         for (auto& it : fleet_.nodes) it->feed.Check();
         return fleet_.Turn();
       case 7:
-        return Draw(2) == 0 ? fleet_.BroadcastSigns() : fleet_.Spread();
+        return Draw(2) == 0 ? fleet_.BroadcastHeartbeats() : fleet_.Propagate();
       default:
-        if (Draw(3) == 0) ComeBack();
+        if (Draw(3) == 0) RestoreCopy();
     }
   }
 
@@ -115,15 +115,15 @@
     }
   }
 
-  void ComeBack() {
+  void RestoreCopy() {
     const std::int64_t lost = Draw(12);
     const std::int64_t copy =
         std::max<std::int64_t>(0, fleet_.store.revision() - lost);
-    // The counter may be behind what is known, at it, or beyond it.
-    fleet_.store.ComeBack(copy, Draw(2) == 0 ? 0 : Draw(15));
+    // The counter may be lower than, equal to or above what the routers know.
+    fleet_.store.RestoreCopy(copy, Draw(2) == 0 ? 0 : Draw(15));
   }
 
-  // Some messages come late, twice or never.
+  // Some messages arrive late, twice or never.
   void DeliverAny() {
     if (fleet_.sent.empty()) return;
     auto it = fleet_.sent.begin();
@@ -139,15 +139,15 @@
   std::map<Incarnation, StoreRevision> known_;
 };
 
-// Guards against changes that are passed over because the store's revisions
-// went back, in a fleet whose routers all follow it.
+// Guards against changes that are ignored because the store's revisions went
+// back, in a fleet whose routers all follow the store.
 BOOST_AUTO_TEST_CASE(AStoreThatCameBackOlderIsKnownAtAllWhoFollowIt) {
   for (std::uint32_t seed = 1; seed <= kHistories; ++seed) {
     BOOST_TEST(World(seed, 0).Run(), "seed " << seed);
   }
 }
 
-// Guards against the same where readers tell the others.
+// Guards against the same in a fleet whose readers update the other routers.
 BOOST_AUTO_TEST_CASE(AStoreThatCameBackOlderIsKnownAtAllWhoAreTold) {
   for (std::uint32_t seed = 1; seed <= kHistories; ++seed) {
     BOOST_TEST(World(seed, 2).Run(), "seed " << seed);
--- a/relay/testing/feed_fleet.h
+++ b/relay/testing/feed_fleet.h
@@ -1,17 +1,17 @@
 // Feeds of one prefix over a store in memory, with messages that the test
-// carries: for tests of what routers tell each other of the store.
+// delivers: for tests of what routers send each other about the store.
 //
 //   FeedFleet fleet;
 //   FeedNode& reader = fleet.Add("r1", /*is_reader=*/true);
 //   FeedNode& other = fleet.Add("vm-1", false);
 //   fleet.store.Put("t/a", "1");      // answers open waits
-//   fleet.Turn();                     // the loop, until nothing more is due
+//   fleet.Turn();                     // runs the loop until nothing is due
 //   fleet.DeliverAll();
-//   fleet.BroadcastSigns();
+//   fleet.BroadcastHeartbeats();
 //   BOOST_TEST(other.items == fleet.store.ItemsAt(fleet.store.revision()));
 //
-// Time is the test's (`clock.now`), but for pauses between calls, which are
-// none (`spacing`) or real.
+// The test sets the time (`clock.now`). Only the pauses between calls use the
+// real clock; `spacing` sets the one after changes to zero.
 
 #ifndef QUAYTRACK_RELAY_TESTING_FEED_FLEET_H_
 #define QUAYTRACK_RELAY_TESTING_FEED_FLEET_H_
@@ -40,12 +40,13 @@
 
 using FeedItems = std::map<std::string, std::string>;
 
-// A store of one prefix that keeps all of its history, and may come back from
+// A store of one prefix that keeps its complete history, and may come back from
 // an older copy of itself.
 class HistoryStore {
  public:
-  // Forgets all after `revision`; the next one is `ahead` later.
-  void ComeBack(std::int64_t revision, std::int64_t ahead) {
+  // Drops all changes after `revision`, and moves the revision counter `ahead`
+  // further.
+  void RestoreCopy(std::int64_t revision, std::int64_t ahead) {
     eras_[era_] = history_;
     std::erase_if(history_, [revision](const StoreChange& it) {
       return it.item.revision > revision;
@@ -54,8 +55,8 @@
     ++era_;
   }
   std::int64_t era() const { return era_; }
-  // Names eras from now on.
-  void NameEras() { era_ = 1; }
+  // From now on, revisions carry an era.
+  void StartEras() { era_ = 1; }
 
   void Put(const std::string& key, const std::string& value) {
     history_.push_back({{key, value, ++revision_}, false});
@@ -65,7 +66,7 @@
   }
   std::int64_t revision() const { return revision_; }
 
-  // In an era that may be over.
+  // Of any era, including those that have ended.
   FeedItems ItemsAt(StoreRevision revision) const {
     HistoryStore before;
     const auto it = eras_.find(revision.era);
@@ -88,8 +89,8 @@
     for (const auto& [key, it] : items) out.push_back(it);
     return out;
   }
-  // After one revision and up to another. Of an item that changed twice only
-  // the later change is shown, as the store does.
+  // The changes after one revision and up to another. Of an item that changed
+  // twice only the later change is included, as in the store.
   std::vector<StoreChange> Changes(std::int64_t after, std::int64_t to) const {
     std::map<std::string, StoreChange> latest;
     for (const StoreChange& it : history_) {
@@ -143,7 +144,7 @@
   }
   std::uint64_t calls() const override { return calls_; }
 
-  // Answers the open wait, if there are changes for it.
+  // Answers the open wait if there are changes for it.
   void AnswerWait() {
     if (!waits() || cut || store_.revision() == wait_->after) return;
     const auto call = std::exchange(wait_, nullptr);
@@ -151,8 +152,8 @@
       StoreChanges gone;
       gone.end = StoreEnd::kRefused;
       gone.forgotten = true;
-      // Not at once: a router that asks without end is to fail, and not to
-      // hang.
+      // Delayed, so that a router that calls without end fails the test instead
+      // of hanging it.
       timer_ = loop_.After(std::chrono::milliseconds(1), [call, gone] {
         if (!call->dropped) call->done(gone);
       });
@@ -166,7 +167,7 @@
   }
   bool waits() const { return wait_ && !wait_->dropped; }
 
-  // Calls are neither answered nor refused.
+  // While set, calls are neither answered nor refused.
   bool cut = false;
 
  private:
@@ -180,7 +181,7 @@
     ~Handle() override { open->dropped = true; }
     std::shared_ptr<Open> open;
   };
-  // With the store's era, as its client would.
+  // Adds the store's era, as the store's client does.
   StoreRevision Tagged(StoreRevision it) const {
     return {store_.era(), it.number};
   }
@@ -207,7 +208,7 @@
 
 struct FeedFleet;
 
-// A router, as far as its feed goes.
+// The part of a router that its feed needs.
 struct FeedNode {
   FeedNode(FeedFleet& in_fleet, const std::string& vm, const std::string& hall);
 
@@ -219,11 +220,11 @@
   std::string hall;
   bool is_reader = false;
   FeedItems items;
-  // How often the store's answers were told on.
+  // How often an answer of the store was reported to other feeds.
   int answers = 0;
-  // Bytes of keys and values that others have sent.
+  // Bytes of keys and values received from other nodes.
   std::size_t received = 0;
-  // What was told of the store: lost (false) and back (true).
+  // Reports on the store: lost (false) and back (true).
   std::vector<bool> reachable;
   HistoryClient client;
   StateFeed feed;
@@ -246,8 +247,8 @@
     SetRoles();
     Turn();
   }
-  // As in a fleet whose list of routers was read: readers read the store, and
-  // the others wait for them.
+  // Starts as in a fleet whose list of routers was read: readers read the
+  // store, and the others wait for them.
   void StartFromReaders() {
     SetRoles();
     for (auto& it : nodes) {
@@ -269,8 +270,9 @@
       loop.Run();
     }
   }
-  // The store's changes reach those that wait, and what they say everybody.
-  void Spread() {
+  // The store's changes reach the open waits, and the resulting messages all
+  // nodes.
+  void Propagate() {
     for (auto& it : nodes) it->client.AnswerWait();
     Turn();
     DeliverAll();
@@ -301,8 +303,8 @@
       Deliver(it);
     }
   }
-  // Each reader's sign of life to all.
-  void BroadcastSigns() {
+  // Sends each reader's heartbeat to all nodes.
+  void BroadcastHeartbeats() {
     for (auto& from : nodes) {
       const auto mark = from->feed.Mark();
       if (!mark) continue;
@@ -327,9 +329,9 @@
   std::vector<std::unique_ptr<FeedNode>> nodes;
   std::list<Sent> sent;
   int delivered = 0;
-  // Of keys and values, in one message.
+  // The most bytes of keys and values in one message.
   std::size_t largest = 0;
-  // Turns last some milliseconds, for tests of many steps.
+  // Makes turns last only some milliseconds, for tests of many steps.
   bool brief_turns = false;
 };
 
@@ -370,8 +372,9 @@
   out.tell = [this](PeerMessage it) {
     it.from = self;
     for (auto& node : fleet.nodes) {
-      const bool told = node->hall == hall || node->is_reader;
-      if (told && node->self != self) fleet.sent.push_back({node->self, it});
+      const bool is_recipient = node->hall == hall || node->is_reader;
+      if (is_recipient && node->self != self)
+        fleet.sent.push_back({node->self, it});
     }
   };
   out.is_reader = [this](const Incarnation& it) {
--- a/relay/testing/feed_pages_test.cc
+++ b/relay/testing/feed_pages_test.cc
@@ -1,4 +1,4 @@
-// Pages of what a reader knows, and how a router that is behind collects them.
+// The pages of a reader's state, and how a router that is behind collects them.
 
 #include "relay/feed_pages.h"
 
@@ -10,7 +10,7 @@
 namespace quaytrack {
 namespace {
 
-// Items of this size make a few dozen to a page.
+// A page holds a few dozen items of this size.
 const std::string kValue(1000, 'x');
 
 std::string Key(int n) { return "t/" + std::to_string(10'000 + n); }
@@ -21,7 +21,7 @@
   return out;
 }
 
-FeedNews Wanted(StoreRevision since) {
+FeedNews RequestFrom(StoreRevision since) {
   FeedNews out;
   out.paged = true;
   out.since = since;
@@ -37,7 +37,7 @@
 }
 
 struct Fixture {
-  // All of an answer; `pages` counts them.
+  // Collects a complete answer; `pages` counts its pages.
   FeedNews Collect(StoreRevision since) {
     FeedPageReader reader;
     for (pages = 1;; ++pages) {
@@ -56,8 +56,8 @@
   std::size_t largest = 0;
 };
 
-// A list of thousands of targets was one message to each router that asked, and
-// a longer one was more than a link takes.
+// Guards against an answer that outgrows the link: a list of thousands of
+// targets was sent in one message to each router that requested it.
 BOOST_FIXTURE_TEST_CASE(ALongListComesInPages, Fixture) {
   revision = 500;
   book.Start(Items(500), revision);
@@ -69,7 +69,7 @@
   BOOST_TEST(pages >= 500'000 / static_cast<int>(FeedItemBook::kPageBytes));
 }
 
-// Whoever had missed one change was sent the whole list.
+// Guards against sending the complete list to a router that missed one change.
 BOOST_FIXTURE_TEST_CASE(WhoIsBehindIsSentWhatHasChangedAlone, Fixture) {
   book.Start(Items(500), 500);
   book.Apply({{Key(7), "new", 501}, false});
@@ -90,12 +90,12 @@
 
 BOOST_FIXTURE_TEST_CASE(WhoKnowsNoLessIsSentNothing, Fixture) {
   book.Start(Items(3), 3);
-  BOOST_TEST(!book.PageFor(Wanted(3), 3).has_value());
-  BOOST_TEST(!book.PageFor(Wanted(4), 3).has_value());
-  BOOST_TEST(!book.PageFor(Wanted({2, 1}), 3).has_value());
+  BOOST_TEST(!book.PageFor(RequestFrom(3), 3).has_value());
+  BOOST_TEST(!book.PageFor(RequestFrom(4), 3).has_value());
+  BOOST_TEST(!book.PageFor(RequestFrom({2, 1}), 3).has_value());
 }
 
-// A removed item that is there again is no removal.
+// An item that was removed and written again is not sent as a removal.
 BOOST_FIXTURE_TEST_CASE(AnItemThatCameBackIsThere, Fixture) {
   book.Start(Items(3), 3);
   book.Apply({{Key(1), "", 4}, true});
@@ -106,21 +106,22 @@
   BOOST_TEST(changes.changes[0].item.value == "again");
 }
 
-// Whose removals are no longer remembered can't be told what has gone.
+// A router that is behind the remembered removals can't be sent the later ones
+// alone.
 BOOST_FIXTURE_TEST_CASE(WhoIsTooFarBehindIsSentAllItems, Fixture) {
-  const int most = static_cast<int>(FeedItemBook::kMostRemoved);
+  const int max_removals = static_cast<int>(FeedItemBook::kMostRemoved);
   book.Start(Items(3), 3);
-  for (int n = 0; n <= most; ++n) {
+  for (int n = 0; n <= max_removals; ++n) {
     book.Apply({{"t/gone", "v", 4 + 2 * n}, false});
     book.Apply({{"t/gone", "", 5 + 2 * n}, true});
   }
-  revision = 5 + 2 * most;
+  revision = 5 + 2 * max_removals;
   BOOST_TEST((Collect(3).since == StoreRevision()));
   BOOST_TEST((Collect(5).since == StoreRevision(5)));
 }
 
-// It was written and removed between two readings of the whole list, so its
-// removal was not seen.
+// An item that was written and removed between two reads of the list left no
+// removal.
 BOOST_FIXTURE_TEST_CASE(ASecondReadingCoversNobodyFromBeforeIt, Fixture) {
   book.Start(Items(3), 3);
   const auto changes = book.Replace(Items(2), 20);
@@ -139,7 +140,7 @@
   BOOST_TEST((Collect({1, 2}).since == StoreRevision()));
 }
 
-// A build that knows no pages.
+// Older builds don't request pages.
 BOOST_FIXTURE_TEST_CASE(WhoAsksWithoutPagesIsSentAllAtOnce, Fixture) {
   book.Start(Items(500), 500);
   const auto page = book.PageFor(FeedNews(), 500);
@@ -155,19 +156,19 @@
   BOOST_TEST((reader.Take(first) == PageStep::kGoesOn));
   const FeedNews second = *book.PageFor(reader.Next({}), 100);
   BOOST_TEST((reader.Take(second) == PageStep::kGoesOn));
-  // Late, and twice.
+  // A page that arrives late and twice.
   BOOST_TEST((reader.Take(second) == PageStep::kPassedOver));
-  FeedNews stranger = second;
-  stranger.after = "t/99999";
-  BOOST_TEST((reader.Take(stranger) == PageStep::kPassedOver));
+  FeedNews unrelated = second;
+  unrelated.after = "t/99999";
+  BOOST_TEST((reader.Take(unrelated) == PageStep::kPassedOver));
   FeedNews empty = second;
   empty.changes.clear();
   BOOST_TEST((reader.Take(empty) == PageStep::kPassedOver));
   BOOST_TEST(reader.IsUnderWay());
 }
 
-// Readers have nothing more of the era that is over, so asking for its next
-// page would go on without end.
+// Guards against requests without end: readers have no further page of an era
+// that has ended.
 BOOST_FIXTURE_TEST_CASE(APageOfALaterEraBeginsAnew, Fixture) {
   book.Start(Items(100), 100);
   FeedPageReader reader;
@@ -180,7 +181,7 @@
   BOOST_TEST(reader.Next({}).after.empty());
 }
 
-// A reader that is behind the one before it.
+// The later pages come from a reader that is behind the first one.
 BOOST_FIXTURE_TEST_CASE(PagesAreKnownUpToTheLowestRevision, Fixture) {
   book.Start(Items(100), 100);
   FeedPageReader reader;
--- a/relay/testing/feed_property_test.cc
+++ b/relay/testing/feed_property_test.cc
@@ -1,8 +1,8 @@
-// Random histories of a store, told by readers whose messages are lost,
-// repeated and reordered, and the calls that a fleet makes.
+// Random histories of a store, sent by readers whose messages are lost,
+// repeated and reordered, and the number of calls that a fleet makes.
 //
-// The rule: what a router has is at all times what the store had at one
-// revision, and that revision never goes back.
+// The rule: at all times a router's state is that of the store at one revision,
+// and that revision never goes back.
 
 #include <rapidcheck.h>
 
@@ -17,8 +17,8 @@
 
 using std::chrono::milliseconds;
 
-// One router that never reaches the store, and readers that tell it in batches
-// of their own.
+// One router that never reaches the store, and readers that send it changes,
+// each in batches of its own.
 class World {
  public:
   explicit World(std::uint32_t seed)
@@ -32,7 +32,7 @@
 
   void Run() {
     for (int n = 0; n < kSteps; ++n) Step();
-    Deliver(Whole(0));
+    Deliver(FullState(0));
     RC_ASSERT(Known() == fleet_.store.revision());
   }
 
@@ -54,11 +54,12 @@
       case 3:
         return messages_.push_back(Batch(Draw(kReaders)));
       case 4:
-        return messages_.push_back(Whole(Draw(kReaders)));
+        return messages_.push_back(FullState(Draw(kReaders)));
       case 5:
         return messages_.push_back(Notice(Draw(kReaders)));
       default:
-        // Any message, at any time, any number of times; some never.
+        // Delivers any message, at any time and any number of times; some
+        // never.
         if (!messages_.empty()) {
           Deliver(messages_[static_cast<std::size_t>(
               Draw(static_cast<int>(messages_.size())))]);
@@ -80,7 +81,7 @@
     out.news.feed = FeedName::kTargets;
     return out;
   }
-  // What the reader sees next, which may be many changes at once.
+  // The reader's next changes, which may be many at once.
   PeerMessage Batch(int reader) {
     std::int64_t& at = read_[static_cast<std::size_t>(reader)];
     PeerMessage out = From(reader, PeerMessageKind::kNews);
@@ -90,7 +91,7 @@
     out.news.changes = fleet_.store.Changes(out.news.since.number, at);
     return out;
   }
-  PeerMessage Whole(int reader) {
+  PeerMessage FullState(int reader) {
     PeerMessage out = From(reader, PeerMessageKind::kState);
     out.news.revision = fleet_.store.revision();
     for (const StoreItem& it :
@@ -133,29 +134,30 @@
                        [](std::uint32_t seed) { World(seed).Run(); }));
 }
 
-// Engines are replaced one after the other while all routers are up: each
-// change was a call of every router, which at 295 routers and 60 changes made
-// some 18,000 calls. Two halls' worth of figures, three readers a hall as in
-// fleet/fleet.h; the numbers of routers are those of deployments in use.
-std::uint64_t CallsOfARelease(int routers) {
+// Counts the calls while engines are replaced one after the other and all
+// routers are up. It guards against a call of every router for each change,
+// which at 295 routers and 60 changes made some 18,000 calls. There are three
+// readers in each hall, as in fleet/fleet.h, and the callers use numbers of
+// routers from real deployments.
+std::uint64_t CallsOfRelease(int routers) {
   constexpr int kHalls = 5;
   constexpr int kReadersOfAHall = 3;
   constexpr int kChanges = 20;
   FeedFleet fleet;
   for (int n = 0; n < routers; ++n) {
-    const bool reads = n < kHalls * kReadersOfAHall;
-    fleet.Add("vm" + std::to_string(n), reads,
+    const bool reads_store = n < kHalls * kReadersOfAHall;
+    fleet.Add("vm" + std::to_string(n), reads_store,
               "hall" + std::to_string(n % kHalls));
   }
   fleet.store.Put("t/0", "ready");
   fleet.StartAll();
-  fleet.BroadcastSigns();
+  fleet.BroadcastHeartbeats();
   const std::uint64_t before = fleet.Calls();
   for (int n = 0; n < kChanges; ++n) {
     fleet.store.Put("t/" + std::to_string(n), "leaving");
     fleet.clock.now += milliseconds(900);
-    fleet.Spread();
-    fleet.BroadcastSigns();
+    fleet.Propagate();
+    fleet.BroadcastHeartbeats();
     for (auto& it : fleet.nodes) it->feed.Check();
   }
   for (auto& it : fleet.nodes) {
@@ -164,7 +166,7 @@
   return fleet.Calls() - before;
 }
 
-// Routers that are behind and collect a long list in pages, while it changes.
+// Routers that are behind and collect a long list in pages while it changes.
 // Messages are lost, repeated and reordered.
 class PagedWorld {
  public:
@@ -190,8 +192,8 @@
     }
     for (int n = 0; n < kCalmRounds; ++n) {
       fleet_.clock.now += milliseconds(900);
-      fleet_.Spread();
-      fleet_.BroadcastSigns();
+      fleet_.Propagate();
+      fleet_.BroadcastHeartbeats();
       RunFor(fleet_.loop, milliseconds(3));
     }
     const FeedItems now = fleet_.store.ItemsAt(fleet_.store.revision());
@@ -238,7 +240,7 @@
     fleet_.clock.now += milliseconds(Draw(300));
     const auto before = std::move(fleet_.sent);
     fleet_.sent.clear();
-    fleet_.BroadcastSigns();
+    fleet_.BroadcastHeartbeats();
     fleet_.sent.insert(fleet_.sent.end(), before.begin(), before.end());
   }
   void DeliverAny() {
@@ -263,15 +265,16 @@
 }
 
 struct StartCost {
-  // Of all routers together, to the store.
+  // Calls of all routers together to the store.
   std::uint64_t calls = 0;
-  // The most that a router which is no reader was sent, in whole lists.
+  // The most data that any router other than a reader received, in multiples of
+  // the complete list.
   double lists = 0;
   std::size_t largest_message = 0;
 };
 
-// All routers start together before a long list of targets.
-StartCost CostOfAStart(int routers) {
+// All routers start together while the store has a long list of targets.
+StartCost CostOfStart(int routers) {
   constexpr int kHalls = 5;
   constexpr int kReadersOfAHall = 3;
   constexpr int kTargets = 600;
@@ -279,8 +282,8 @@
   FeedFleet fleet;
   fleet.brief_turns = true;
   for (int n = 0; n < routers; ++n) {
-    const bool reads = n < kHalls * kReadersOfAHall;
-    fleet.Add("vm" + std::to_string(n), reads,
+    const bool reads_store = n < kHalls * kReadersOfAHall;
+    fleet.Add("vm" + std::to_string(n), reads_store,
               "hall" + std::to_string(n % kHalls));
   }
   for (int n = 0; n < kTargets; ++n) {
@@ -288,8 +291,8 @@
   }
   fleet.StartFromReaders();
   for (int n = 0; n < 3; ++n) {
-    fleet.Spread();
-    fleet.BroadcastSigns();
+    fleet.Propagate();
+    fleet.BroadcastHeartbeats();
   }
   StartCost out;
   out.calls = fleet.Calls();
@@ -308,22 +311,22 @@
   return out;
 }
 
-// Each router read the whole list from the store: at 985 routers before 10,000
-// targets, some 3.5 GB through a link of 125 MB/s, while targets entered
-// themselves and operators waited behind.
+// Guards against each router reading the complete list from the store: 985
+// routers with 10,000 targets read some 3.5 GB through a link of 125 MB/s, and
+// targets that entered themselves and operators had to wait.
 BOOST_AUTO_TEST_CASE(AStartCostsTheStoreNoMoreInALargerFleet) {
-  const StartCost small = CostOfAStart(30);
-  const StartCost large = CostOfAStart(295);
+  const StartCost small = CostOfStart(30);
+  const StartCost large = CostOfStart(295);
   BOOST_TEST(large.calls <= small.calls);
   BOOST_TEST(large.lists <= 1.0);
   BOOST_TEST(large.largest_message <= FeedItemBook::kPageBytes);
 }
 
 BOOST_AUTO_TEST_CASE(CallsForChangesDontGrowWithTheFleet) {
-  const std::uint64_t small = CallsOfARelease(30);
-  BOOST_TEST(CallsOfARelease(86) <= small + 15);
-  BOOST_TEST(CallsOfARelease(295) <= small + 15);
-  // A call of each reader for a change, and the waits after them.
+  const std::uint64_t small = CallsOfRelease(30);
+  BOOST_TEST(CallsOfRelease(86) <= small + 15);
+  BOOST_TEST(CallsOfRelease(295) <= small + 15);
+  // One call of each reader for each change, and the wait after it.
   BOOST_TEST(small <= 20U * 15U * 2U);
 }
 
--- a/relay/testing/fleet_driver_test.cc
+++ b/relay/testing/fleet_driver_test.cc
@@ -1,4 +1,4 @@
-// How a router enters the list of routers and learns of the others.
+// How a router enters itself in the list of routers and learns of the others.
 
 #include "relay/fleet_driver.h"
 
@@ -12,11 +12,11 @@
 using std::chrono::milliseconds;
 
 constexpr char kPrefix[] = "quaytrack/router/";
-// Beyond the pause before a failed call is made again, and the one before the
-// list is read for the second time.
+// Longer than the delay before a failed call is retried, and than the interval
+// before the second read of the list.
 constexpr Duration kRetried = milliseconds(550);
 constexpr Duration kReadAgain = milliseconds(1900);
-// Beyond the pause before the list is read for its number.
+// Longer than the delay before the list is read for a differing number.
 constexpr Duration kCountRead = milliseconds(700);
 
 FleetMember Member(const char* vm) {
@@ -74,7 +74,7 @@
   BOOST_TEST(driver.directory().size() == 2U);
 }
 
-// Routers that start together have entered by the time of the second read.
+// Routers that start together have written their entries by the second read.
 BOOST_FIXTURE_TEST_CASE(TheSecondReadSettlesTheList, Fixture) {
   AnswerWrite(StoreEnd::kDone);
   BOOST_TEST(AnswerRead(StoreEnd::kDone, {}));
@@ -83,7 +83,7 @@
   RunFor(loop, kReadAgain);
   BOOST_TEST(AnswerRead(StoreEnd::kDone, {}));
   BOOST_TEST(driver.settled());
-  // Told although the list is the same.
+  // Reported although the list is the same.
   BOOST_TEST(changes == 1);
 }
 
@@ -99,8 +99,9 @@
   BOOST_TEST(reads == 1);
 }
 
-// Each of 985 routers read the list twice when it started, and again together
-// whenever the number changed: 240 MB each time, through the store's link.
+// Guards against needless reads: each of 985 routers read the list twice when
+// it started, and all read it together whenever the number changed, 240 MB each
+// time through the store's link.
 BOOST_FIXTURE_TEST_CASE(AReadersNumberSettlesTheListWithoutAReading, Fixture) {
   AnswerWrite(StoreEnd::kDone);
   AnswerRead(StoreEnd::kDone, {Member("vm-2")});
@@ -118,20 +119,20 @@
   BOOST_TEST(!driver.settled());
 }
 
-// An entry is about 250 bytes in the store's answer.
+// An entry takes about 250 bytes of the store's answer.
 BOOST_AUTO_TEST_CASE(ReadingsTakeTheSamePartOfALinkInAnyFleet) {
   constexpr double kEntryBytes = 250;
-  constexpr double kMostBytesPerS = 64e6;
+  constexpr double kMaxBytesPerS = 64e6;
   for (const std::size_t routers : {30U, 100U, 300U, 985U, 2000U, 4000U}) {
     const auto n = static_cast<double>(routers);
     const double seconds = ToSeconds(FleetDriver::ReadingSpread(routers));
-    BOOST_TEST(n * n * kEntryBytes / seconds <= kMostBytesPerS);
+    BOOST_TEST(n * n * kEntryBytes / seconds <= kMaxBytesPerS);
   }
-  // In fleets of usual sizes nobody waits for it.
+  // In fleets of usual size the spread is no delay that matters.
   BOOST_TEST((FleetDriver::ReadingSpread(100) <= milliseconds(50)));
 }
 
-// Whoever is told how many routers there are reads the list only where it knows
+// A router that receives the number of routers reads the list only if it knows
 // another number.
 BOOST_FIXTURE_TEST_CASE(AnotherNumberOfRoutersIsReadUp, Fixture) {
   AnswerWrite(StoreEnd::kDone);
@@ -185,7 +186,7 @@
   BOOST_TEST(driver.directory().size() == 2U);
 }
 
-// Guards against an entry that is lost with what the store had acknowledged.
+// Guards against an entry that the store acknowledged and then lost.
 BOOST_FIXTURE_TEST_CASE(TheOwnEntryIsWrittenAgainInALaterEra, Fixture) {
   BOOST_TEST(AnswerWrite(StoreEnd::kDone));
   BOOST_TEST(AnswerRead(StoreEnd::kDone, {}));
--- a/relay/testing/link_monitor_test.cc
+++ b/relay/testing/link_monitor_test.cc
@@ -1,4 +1,4 @@
-// What counts as load of the VM's link.
+// Which traffic counts as load of the VM's network link.
 
 #include "relay/link_monitor.h"
 
@@ -14,11 +14,11 @@
   Instant now = Instant(std::chrono::hours(1));
 };
 
-// Long beside the time over which the load is smoothed.
+// Long compared with the time over which the load is smoothed.
 constexpr int kSeconds = 8;
 
 struct Fixture {
-  // The same traffic in each of some seconds.
+  // Carries the same traffic in each of `kSeconds` seconds.
   void Carry(LinkMonitor& monitor, const Traffic& each) {
     monitor.Observe();
     for (int n = 0; n < kSeconds; ++n) {
@@ -33,7 +33,7 @@
 
   Loop loop;
   ManualClock clock;
-  // 125,000 bytes a second each way; busy from 75,000 of them.
+  // 125,000 bytes a second each way; busy from 75,000 a second.
   LinkMonitor link{loop, clock, 1};
 };
 
@@ -52,14 +52,15 @@
   BOOST_TEST(link.load() == 0.4, boost::test_tools::tolerance(0.01));
 }
 
-// Small pieces cost more in headers than in bytes, whichever way they go.
+// Small reads or writes cost more in headers than in payload, in either
+// direction.
 BOOST_FIXTURE_TEST_CASE(HeadersCount, Fixture) {
   Carry(link, {0, 0, 700, 700});
   BOOST_TEST(link.load() == 0.672, boost::test_tools::tolerance(0.01));
   BOOST_TEST(link.IsBusy());
 }
 
-// A packet of data in one direction is acknowledged in the other.
+// A data packet in one direction is acknowledged in the other.
 BOOST_FIXTURE_TEST_CASE(HeadersCountInBothDirections, Fixture) {
   Carry(link, {60000, 0, 300, 0});
   BOOST_TEST(link.load() == 0.624, boost::test_tools::tolerance(0.01));
--- a/relay/testing/peer_mesh_test.cc
+++ b/relay/testing/peer_mesh_test.cc
@@ -1,5 +1,5 @@
-// Links between routers, over loopback: who is linked, who is told what, and
-// when a link counts as lost.
+// Links between routers, over loopback: which routers are linked, which of them
+// get a message, and when a link counts as lost.
 
 #include "relay/peer_mesh.h"
 
@@ -13,10 +13,10 @@
 
 using std::chrono::milliseconds;
 
-// Enough for a link over loopback to open.
+// Long enough for a link over loopback to open.
 constexpr Duration kOpened = milliseconds(200);
-// Beyond the time between two signs of life.
-constexpr Duration kNextSign = milliseconds(1200);
+// Longer than the interval between two heartbeats.
+constexpr Duration kNextHeartbeat = milliseconds(1200);
 
 // Stands still until the test moves it.
 class ManualClock final : public Clock {
@@ -26,7 +26,7 @@
   Instant now = Instant(std::chrono::hours(1));
 };
 
-// One router's links, and what its handlers were told.
+// One router's links, and the calls of its handlers.
 struct Router {
   Router(Loop& loop, const char* incarnation)
       : self(incarnation), mesh(loop, clock, self, Handlers()) {
@@ -35,7 +35,7 @@
 
   PeerMesh::Handlers Handlers() {
     PeerMesh::Handlers out;
-    out.message = [this](const PeerMessage& it) { heard.push_back(it); };
+    out.message = [this](const PeerMessage& it) { received.push_back(it); };
     out.fill = [this](PeerMessage& it) { it.config_version = version; };
     out.lost = [this](const Incarnation& it) { lost.push_back(it); };
     return out;
@@ -43,21 +43,21 @@
   FleetMember Member() const { return {VmOf(self), HallName("h"), address}; }
   int Count(PeerMessageKind kind) const {
     return static_cast<int>(
-        std::count_if(heard.begin(), heard.end(),
+        std::count_if(received.begin(), received.end(),
                       [&](const PeerMessage& it) { return it.kind == kind; }));
   }
 
   ManualClock clock;
   Incarnation self;
   std::uint64_t version = 7;
-  std::vector<PeerMessage> heard;
+  std::vector<PeerMessage> received;
   std::vector<Incarnation> lost;
   std::string address;
   PeerMesh mesh;
 };
 
 struct Fixture {
-  // One dials the other, and both have said who they are.
+  // Dials `to` from `from`, and waits until both have received a hello.
   void Link(Router& from, const Router& to) {
     from.mesh.KeepLinksTo({to.Member()});
     RunFor(loop, kOpened);
@@ -75,11 +75,11 @@
   BOOST_TEST((two.mesh.LinkedOn(VmName("vm-1")) == one.self));
   BOOST_TEST(one.Count(PeerMessageKind::kHello) == 1);
   BOOST_TEST(two.Count(PeerMessageKind::kHello) == 1);
-  BOOST_TEST(two.heard.at(0).config_version == 7U);
+  BOOST_TEST(two.received.at(0).config_version == 7U);
   BOOST_TEST(one.mesh.peers() == 1U);
 }
 
-// A peer that dials meanwhile makes a second link; each is told once.
+// If both routers dial there are two links; a broadcast uses one of them.
 BOOST_FIXTURE_TEST_CASE(APeerWithTwoLinksIsToldOnce, Fixture) {
   one.mesh.KeepLinksTo({two.Member()});
   two.mesh.KeepLinksTo({one.Member()});
@@ -103,16 +103,16 @@
   one.mesh.BroadcastSignOfLife();
   RunFor(loop, kOpened);
   BOOST_TEST(two.Count(PeerMessageKind::kPing) == 1);
-  BOOST_TEST(two.heard.back().config_version == 8U);
-  RunFor(loop, kNextSign);
+  BOOST_TEST(two.received.back().config_version == 8U);
+  RunFor(loop, kNextHeartbeat);
   BOOST_TEST(two.Count(PeerMessageKind::kPing) >= 2);
 }
 
-// A cut says nothing: silence ends the link, and it is dialled again.
+// A cut sends no signal: silence closes the link, and it is dialled again.
 BOOST_FIXTURE_TEST_CASE(ALinkThatIsSilentIsLostAndDialledAgain, Fixture) {
   Link(one, two);
   one.clock.now += milliseconds(3600);
-  RunFor(loop, kNextSign);
+  RunFor(loop, kNextHeartbeat);
   BOOST_REQUIRE(one.lost.size() == 1U);
   BOOST_TEST((one.lost[0] == two.self));
   RunFor(loop, kOpened);
@@ -123,12 +123,12 @@
 BOOST_FIXTURE_TEST_CASE(ALinkThatWasHeardOfLatelyStays, Fixture) {
   Link(one, two);
   one.clock.now += milliseconds(3400);
-  RunFor(loop, kNextSign);
+  RunFor(loop, kNextHeartbeat);
   BOOST_TEST(one.lost.empty());
   BOOST_TEST(one.Count(PeerMessageKind::kHello) == 1);
 }
 
-// A VM runs one router, so that the earlier one's process has ended.
+// A VM runs one router, so the process of the earlier incarnation has ended.
 BOOST_FIXTURE_TEST_CASE(ALaterIncarnationEndsTheLinksToAnEarlier, Fixture) {
   Link(one, two);
   Router later{loop, "vm-2@b"};
--- a/relay/testing/peer_messages_test.cc
+++ b/relay/testing/peer_messages_test.cc
@@ -1,5 +1,5 @@
-// The form of peer messages on the wire, which routers of other builds read:
-// words, field names and types stay as they are.
+// The encoding of peer messages, which routers of other builds read: words,
+// field names and types stay as they are.
 
 #include "relay/peer_messages.h"
 
@@ -21,7 +21,7 @@
   return out;
 }
 
-// Compares with `text` in JSON, and decodes what was encoded.
+// Compares the encoding with the JSON in `text`, and decodes it again.
 void Check(const PeerMessage& message, const char* text) {
   const std::string bytes = EncodePeerMessage(message);
   BOOST_TEST(Json::from_cbor(bytes) == Json::parse(text));
@@ -45,10 +45,11 @@
 }
 
 BOOST_AUTO_TEST_CASE(MessagesAboutTheStoreKeepTheirForm) {
-  PeerMessage sign = Message(PeerMessageKind::kPing);
-  sign.marks[FeedName::kTargets] = {12, std::chrono::microseconds(300'100)};
-  sign.routers = 295;
-  Check(sign, R"({"kind": "ping", "from": "vm1@1", "routers": 295,
+  PeerMessage heartbeat = Message(PeerMessageKind::kPing);
+  heartbeat.marks[FeedName::kTargets] = {12,
+                                         std::chrono::microseconds(300'100)};
+  heartbeat.routers = 295;
+  Check(heartbeat, R"({"kind": "ping", "from": "vm1@1", "routers": 295,
                   "marks": {"targets": [12, 301]}})");
   PeerMessage it = Message(PeerMessageKind::kNews);
   it.news.feed = FeedName::kTargets;
@@ -66,12 +67,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(PagesKeepTheirForm) {
-  PeerMessage wanted = Message(PeerMessageKind::kStateWanted);
-  wanted.news.feed = FeedName::kTargets;
-  wanted.news.since = 9;
-  wanted.news.paged = true;
-  wanted.news.after = "t/1";
-  Check(wanted, R"({"kind": "state_wanted", "from": "vm1@1", "news":
+  PeerMessage state_request = Message(PeerMessageKind::kStateWanted);
+  state_request.news.feed = FeedName::kTargets;
+  state_request.news.since = 9;
+  state_request.news.paged = true;
+  state_request.news.after = "t/1";
+  Check(state_request, R"({"kind": "state_wanted", "from": "vm1@1", "news":
                     {"feed": "targets", "since": 9, "revision": 0, "age": 0,
                      "notice": false, "changes": [], "paged": true,
                      "after": "t/1"}})");
@@ -274,7 +275,7 @@
   BOOST_TEST(!DecodePeerMessage("no message").has_value());
 }
 
-// Guards against revisions of different eras that are taken for the same.
+// Guards against taking revisions of different eras for the same.
 BOOST_AUTO_TEST_CASE(RevisionsKeepTheirEras) {
   PeerMessage it;
   it.kind = PeerMessageKind::kNews;
--- a/relay/testing/plain_state_reader.h
+++ b/relay/testing/plain_state_reader.h
@@ -1,9 +1,10 @@
-// Reads shared state that is spelled as tests find convenient: the
-// configuration is its version ("c/config" = "7"), and a target ("t/a") is
-// "ready" or "leaving", and "c/closed/a" closes hall "a". "c/rollout/s" = "v2"
-// orders that service s moves to v2 within 12 s, and "s/rollout/s" says how
-// that stands. Anything else is an item that can't be read, and "unexplained"
-// is one without a reason.
+// Reads shared state from short items that are convenient in tests.
+//
+// "c/config" = "7" is a configuration of version 7. A target "t/a" is "ready"
+// or "leaving". "c/closed/a" closes hall "a". "c/rollout/s" = "v2" orders that
+// service s moves to v2 within 12 s, and "s/rollout/s" holds the status of that
+// order. Any other item can't be read; the value "unexplained" fails without a
+// reason.
 
 #ifndef QUAYTRACK_RELAY_TESTING_PLAIN_STATE_READER_H_
 #define QUAYTRACK_RELAY_TESTING_PLAIN_STATE_READER_H_
--- a/relay/testing/rollout_fleet_test.cc
+++ b/relay/testing/rollout_fleet_test.cc
@@ -1,10 +1,11 @@
-// Drawn fleets that move a service to another version, good or bad, with cuts,
-// restarts, freezes, lost messages and trouble of the store.
+// Simulated fleets that move a service to another version, good or bad, with
+// random cuts, restarts, freezes, lost messages and outages of the store.
 //
-// Kept with every draw: a bad version gets no more than its part of all
-// requests, and nothing from calm routers some seconds after its 50th bad
-// answer; what the store says at the end never changes; and where nothing else
-// fails, a good version is completed and a bad one rolled back in time.
+// Every run checks that a bad version gets no more than its share of all
+// requests, and none from undisturbed routers some seconds after its 50th bad
+// answer; that the final status in the store never changes; and that, where
+// nothing else fails, a good version is completed and a bad one rolled back in
+// time.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -27,15 +28,15 @@
 using std::chrono::seconds;
 
 constexpr Duration kStep = milliseconds(20);
-constexpr Duration kTellEvery = milliseconds(1000);
-constexpr Duration kCheckEvery = milliseconds(200);
+constexpr Duration kHeartbeatInterval = milliseconds(1000);
+constexpr Duration kCheckInterval = milliseconds(200);
 constexpr Instant kStart{std::chrono::hours(1)};
-// The users' bounds.
+// The limits that are checked.
 constexpr double kExposureShare = 0.1;
 constexpr double kExposureSlack = 50;
 constexpr int kBadAnswers = 50;
 constexpr Duration kRollBack = seconds(5);
-constexpr Duration kContact = seconds(4);
+constexpr Duration kCalmAfter = seconds(4);
 const ServiceName kService("llm");
 const VersionName kNext("v2");
 const std::string kStatusKey = "s/rollout/llm";
@@ -54,32 +55,34 @@
 
 struct Spec {
   int routers = 7;
-  // Of a large fleet; all routers decide if it is 0.
+  // Number of deciders of a large fleet; if it is 0, all routers decide.
   int deciders = 0;
   double requests_per_s = 300;
-  // Part of the version's answers that fail, from so many of them on.
+  // Share of the new version's answers that fail, and how many answers come
+  // before that.
   double fails = 0;
   int fails_from = 0;
-  // How long an answer takes.
-  Duration takes = milliseconds(400);
+  // Duration of an answer.
+  Duration answer_time = milliseconds(400);
   double restarts_per_s = 0;
   double freezes_per_s = 0;
-  // Part of the messages that are lost, and of the store's answers.
+  // Share of the messages, and of the store's answers, that are lost.
   double lost = 0;
   double lost_answers = 0;
-  // Routers that are cut off from all others for some seconds, a second.
+  // Number of routers a second that are cut off from all others for some
+  // seconds.
   double cuts_per_s = 0;
-  // The store is away.
+  // The start and the length of an outage of the store.
   Duration down_from = seconds(100);
   Duration down_for = seconds(0);
 };
 
-// The store, as far as the status goes.
+// The store; it holds only the status.
 struct StatusStore {
   std::optional<StoreItem> item;
   std::int64_t revision = 10;
-  // All that it ever said.
-  std::vector<std::string> said;
+  // Every status that was written.
+  std::vector<std::string> statuses;
 
   StoreWritten Write(const StoreWrite& write) {
     const StoreCondition& condition = write.conditions.at(0);
@@ -91,12 +94,12 @@
     }
     item = write.puts.at(0);
     item->revision = ++revision;
-    said.push_back(item->value);
+    statuses.push_back(item->value);
     return {StoreEnd::kDone, revision, {}};
   }
 };
 
-// One router's connection to it; answers come when the world hands them out.
+// One router's connection to the store; the World hands out the answers.
 class StatusClient final : public KvStore {
  public:
   struct Pending {
@@ -138,13 +141,13 @@
   std::unique_ptr<RolloutDriver> driver;
   VersionGate gate;
   int running_elsewhere = 0;
-  Instant tells_at{};
+  Instant heartbeat_at{};
   Instant disturbed_until{};
   Instant frozen_until{};
   Instant cut_until{};
 };
 
-struct Sending {
+struct RunningRequest {
   Instant ends{};
   int router = 0;
   int life = 0;
@@ -168,34 +171,40 @@
       Disturb();
       for (Router& it : routers_) {
         if (IsFrozen(it)) continue;
-        if (clock_.now >= it.tells_at) Tell(it);
+        if (clock_.now >= it.heartbeat_at) SendHeartbeat(it);
         const auto since = clock_.now - kStart;
-        if (since % kCheckEvery == Duration::zero()) it.driver->Check();
+        if (since % kCheckInterval == Duration::zero()) it.driver->Check();
       }
       const double each = spec_.requests_per_s * ToSeconds(kStep);
-      for (double due = each + Part(); due >= 1; due -= 1) Ask();
+      for (double due = each + DrawFraction(); due >= 1; due -= 1)
+        SendRequest();
       CheckExposure();
     }
   }
 
-  // Beyond what a bad version may get of all requests.
+  // The largest excess of requests to a bad version over its share of all
+  // requests.
   double worst_excess() const { return worst_excess_; }
-  // Requests to it from calm routers, too late.
+  // Requests to a bad version that undisturbed routers sent too late.
   int late() const { return late_; }
-  const std::vector<std::string>& said() const { return store_.said; }
-  std::string said_last() const {
-    return store_.said.empty() ? "" : store_.said.back();
+  const std::vector<std::string>& statuses() const { return store_.statuses; }
+  std::string last_status() const {
+    return store_.statuses.empty() ? "" : store_.statuses.back();
   }
   Instant over_at() const { return over_at_; }
-  // Requests that ran at other versions when the store said "completed".
+  // Requests that ran at other versions when the status became "completed".
   int cut() const { return cut_; }
 
  private:
   static VmName Vm(int n) { return VmName("vm-" + std::to_string(n)); }
-  double Part() { return static_cast<double>(random_()) / 4294967296.0; }
-  bool Happens(double per_s) { return Part() < per_s * ToSeconds(kStep); }
-  Duration Draw(Duration longest) {
-    return std::chrono::duration_cast<Duration>(longest * Part());
+  double DrawFraction() {
+    return static_cast<double>(random_()) / 4294967296.0;
+  }
+  bool Happens(double per_s) {
+    return DrawFraction() < per_s * ToSeconds(kStep);
+  }
+  Duration Draw(Duration max_delay) {
+    return std::chrono::duration_cast<Duration>(max_delay * DrawFraction());
   }
   Router& Any() { return routers_[random_() % routers_.size()]; }
   bool IsFrozen(const Router& it) const { return it.frozen_until > clock_.now; }
@@ -216,7 +225,7 @@
     it.gate = {};
     it.running_elsewhere = 0;
     it.client = std::make_unique<StatusClient>();
-    it.tells_at = clock_.now + Draw(kTellEvery);
+    it.heartbeat_at = clock_.now + Draw(kHeartbeatInterval);
     RolloutDriver::Handlers on;
     on.rule = [&it](const ServiceName&, const VersionRule& rule, double begin) {
       it.gate.SetRule(rule, begin);
@@ -231,7 +240,7 @@
     on.is_decider = [this](const Incarnation& peer) {
       return Decides(std::stoi(VmOf(peer).value.substr(3)));
     };
-    on.tell = [this, &it] { Tell(it); };
+    on.tell = [this, &it] { SendHeartbeat(it); };
     it.driver = std::make_unique<RolloutDriver>(
         RolloutDriver::Context{clock_, *it.client, TheChart()}, reader_,
         Rollout::Options{kExposureShare * 0.6}, std::move(on));
@@ -252,15 +261,15 @@
   }
 
   // Routers of a large fleet are linked to deciders only.
-  void Tell(Router& from) {
-    from.tells_at = clock_.now + kTellEvery;
+  void SendHeartbeat(Router& from) {
+    from.heartbeat_at = clock_.now + kHeartbeatInterval;
     if (IsCut(from)) return;
     PeerMessage message;
     message.from = from.self;
     from.driver->Fill(message);
     for (Router& to : routers_) {
       const bool linked = Decides(from.n) || Decides(to.n);
-      if (&to == &from || !linked || Part() < spec_.lost) continue;
+      if (&to == &from || !linked || DrawFraction() < spec_.lost) continue;
       messages_.push_back(
           {clock_.now + milliseconds(2) + Draw(milliseconds(40)), to.n,
            message});
@@ -295,22 +304,23 @@
       it.client->pending.reset();
       StoreWritten out{StoreEnd::kRefused, {}, {}};
       if (!IsDown() && !IsCut(it)) out = WriteStatus(call->write);
-      if (Part() < spec_.lost_answers) out = {StoreEnd::kUnknown, {}, {}};
-      // The report ends the call.
+      if (DrawFraction() < spec_.lost_answers)
+        out = {StoreEnd::kUnknown, {}, {}};
+      // The callback ends the call.
       const auto done = call->done;
       if (done) done(out);
     }
   }
   StoreWritten WriteStatus(const StoreWrite& write) {
-    const std::size_t before = store_.said.size();
+    const std::size_t before = store_.statuses.size();
     StoreWritten out = store_.Write(write);
-    if (store_.said.size() == before) return out;
-    if (said_last() == "v2 begun") return out;
+    if (store_.statuses.size() == before) return out;
+    if (last_status() == "v2 begun") return out;
     if (over_at_ == Instant{}) over_at_ = clock_.now;
-    if (said_last() == "v2 completed") {
+    if (last_status() == "v2 completed") {
       cut_ += static_cast<int>(
-          std::count_if(sent_.begin(), sent_.end(),
-                        [](const Sending& it) { return !it.is_next; }));
+          std::count_if(running_.begin(), running_.end(),
+                        [](const RunningRequest& it) { return !it.is_next; }));
     }
     return out;
   }
@@ -321,7 +331,8 @@
       Begin(it.n);
       Order(it);
       it.disturbed_until = clock_.now;
-      std::erase_if(sent_, [&](const Sending& s) { return s.router == it.n; });
+      std::erase_if(running_,
+                    [&](const RunningRequest& s) { return s.router == it.n; });
     }
     if (Happens(spec_.freezes_per_s)) {
       Router& it = Any();
@@ -335,33 +346,35 @@
     }
   }
 
-  void Ask() {
+  void SendRequest() {
     Router& it = Any();
     if (IsFrozen(it)) return;
-    ++asked_;
+    ++requests_;
     const VersionTurn turn = it.gate.Turn();
     const bool is_next = turn == VersionTurn::kNext ||
                          (turn == VersionTurn::kAny && !it.gate.rule().others);
     it.gate.OnSent(is_next ? kNext : VersionName("v1"));
-    Sending sending{clock_.now + spec_.takes, it.n, it.life, is_next, false};
+    RunningRequest sending{clock_.now + spec_.answer_time, it.n, it.life,
+                           is_next, false};
     if (is_next) {
-      sending.fails = sent_next_ >= spec_.fails_from && Part() < spec_.fails;
+      sending.fails =
+          sent_next_ >= spec_.fails_from && DrawFraction() < spec_.fails;
       ++sent_next_;
-      NoteLate(it);
+      CountIfLate(it);
     } else {
       ++it.running_elsewhere;
     }
-    sent_.push_back(sending);
+    running_.push_back(sending);
   }
-  void NoteLate(const Router& it) {
-    const bool calm = clock_.now - kContact >= it.disturbed_until;
+  void CountIfLate(const Router& it) {
+    const bool calm = clock_.now - kCalmAfter >= it.disturbed_until;
     const bool late = bad_ >= kBadAnswers && clock_.now > bad_at_ + kRollBack;
     late_ += late && calm ? 1 : 0;
   }
   void EndRequests() {
-    while (!sent_.empty() && sent_.front().ends <= clock_.now) {
-      const Sending it = sent_.front();
-      sent_.pop_front();
+    while (!running_.empty() && running_.front().ends <= clock_.now) {
+      const RunningRequest it = running_.front();
+      running_.pop_front();
       Router& router = routers_[static_cast<std::size_t>(it.router)];
       if (it.fails && ++bad_ == kBadAnswers) bad_at_ = clock_.now;
       if (router.life != it.life) continue;
@@ -377,7 +390,7 @@
   }
   void CheckExposure() {
     if (spec_.fails == 0) return;
-    const double allowed = asked_ * kExposureShare + kExposureSlack;
+    const double allowed = requests_ * kExposureShare + kExposureSlack;
     worst_excess_ = std::max(worst_excess_, sent_next_ - allowed);
   }
 
@@ -394,8 +407,8 @@
   StatusStore store_;
   std::vector<Router> routers_;
   std::vector<Message> messages_;
-  std::deque<Sending> sent_;
-  double asked_ = 0;
+  std::deque<RunningRequest> running_;
+  double requests_ = 0;
   double sent_next_ = 0;
   int bad_ = 0;
   Instant bad_at_{};
@@ -407,11 +420,11 @@
 
 constexpr std::uint32_t kDraws = 12;
 
-// What may be said in the end, once.
-bool IsOneStory(const std::vector<std::string>& said) {
-  if (said.empty()) return true;
-  if (said.front() != "v2 begun" && said.size() > 1) return false;
-  return said.size() <= 2;
+// Whether one final status was written, at most once, after "begun".
+bool IsConsistent(const std::vector<std::string>& statuses) {
+  if (statuses.empty()) return true;
+  if (statuses.front() != "v2 begun" && statuses.size() > 1) return false;
+  return statuses.size() <= 2;
 }
 
 struct Figures {
@@ -420,7 +433,7 @@
   int in_time = 0;
 };
 
-Figures Play(const char* name, const Spec& spec) {
+Figures RunDraws(const char* name, const Spec& spec) {
   Figures out;
   for (std::uint32_t seed = 1; seed <= kDraws; ++seed) {
     World it(seed, spec);
@@ -428,13 +441,13 @@
     BOOST_TEST_CONTEXT(name << ", seed " << seed) {
       BOOST_TEST(it.worst_excess() <= 0);
       BOOST_TEST(it.late() == 0);
-      BOOST_TEST(IsOneStory(it.said()));
+      BOOST_TEST(IsConsistent(it.statuses()));
     }
-    out.completed += it.said_last() == "v2 completed" ? 1 : 0;
-    out.rolled_back += it.said_last() == "v2 reverted" ? 1 : 0;
+    out.completed += it.last_status() == "v2 completed" ? 1 : 0;
+    out.rolled_back += it.last_status() == "v2 reverted" ? 1 : 0;
     const bool over = it.over_at() != Instant{};
     out.in_time += over && it.over_at() <= kStart + seconds(12) ? 1 : 0;
-    if (it.said_last() == "v2 completed" && spec.cuts_per_s == 0 &&
+    if (it.last_status() == "v2 completed" && spec.cuts_per_s == 0 &&
         spec.freezes_per_s == 0) {
       BOOST_TEST(it.cut() == 0, name << ", seed " << seed);
     }
@@ -445,7 +458,7 @@
   return out;
 }
 
-Spec Troubled(Spec spec) {
+Spec WithDisturbances(Spec spec) {
   spec.restarts_per_s = 0.3;
   spec.freezes_per_s = 0.2;
   spec.cuts_per_s = 0.2;
@@ -464,7 +477,7 @@
 
 BOOST_AUTO_TEST_CASE(AGoodVersionIsCompletedInTime) {
   for (const Spec& spec : {Spec(), Large()}) {
-    const Figures it = Play("good", spec);
+    const Figures it = RunDraws("good", spec);
     BOOST_TEST(it.completed == static_cast<int>(kDraws));
     BOOST_TEST(it.in_time == static_cast<int>(kDraws));
   }
@@ -474,7 +487,7 @@
   for (Spec spec : {Spec(), Large()}) {
     for (const double fails : {0.3, 1.0}) {
       spec.fails = fails;
-      const Figures it = Play("bad", spec);
+      const Figures it = RunDraws("bad", spec);
       BOOST_TEST(it.rolled_back == static_cast<int>(kDraws));
       BOOST_TEST(it.in_time == static_cast<int>(kDraws));
     }
@@ -485,32 +498,34 @@
   Spec spec;
   spec.fails = 0.5;
   spec.fails_from = 40;
-  BOOST_TEST(Play("turns bad", spec).rolled_back == static_cast<int>(kDraws));
+  BOOST_TEST(RunDraws("turns bad", spec).rolled_back ==
+             static_cast<int>(kDraws));
 }
 
-// Nothing is promised of the verdict, but of what a bad version gets.
+// The decision isn't guaranteed here; the bound on requests to a bad version
+// is.
 BOOST_AUTO_TEST_CASE(ABadVersionIsBoundedThroughTroubles) {
   for (Spec spec : {Spec(), Large()}) {
     spec.fails = 0.6;
-    BOOST_TEST(Play("bad, troubles", Troubled(spec)).completed == 0);
+    BOOST_TEST(RunDraws("bad, troubles", WithDisturbances(spec)).completed ==
+               0);
   }
 }
 
 BOOST_AUTO_TEST_CASE(AGoodVersionsStoryIsOneThroughTroubles) {
   for (const Spec& spec : {Spec(), Large()}) {
-    const Figures it = Play("good, troubles", Troubled(spec));
+    const Figures it = RunDraws("good, troubles", WithDisturbances(spec));
     BOOST_TEST(it.completed + it.rolled_back >= static_cast<int>(kDraws) / 2);
   }
 }
 
-// The store can't be told for a while, and nothing of a bad version is sent
-// meanwhile.
+// While the status can't be written, no requests go to a bad version.
 BOOST_AUTO_TEST_CASE(AStoreThatIsAwayDelaysTheWordAlone) {
   Spec spec;
   spec.fails = 0.6;
   spec.down_from = milliseconds(700);
   spec.down_for = seconds(9);
-  BOOST_TEST(Play("bad, store away", spec).rolled_back ==
+  BOOST_TEST(RunDraws("bad, store away", spec).rolled_back ==
              static_cast<int>(kDraws));
 }
 
--- a/relay/testing/rollout_orders_test.cc
+++ b/relay/testing/rollout_orders_test.cc
@@ -1,5 +1,5 @@
-// Operators' orders to move a service, as the follower of the configuration
-// hands them on.
+// The operators' orders to move a service to another version, as the follower
+// of the configuration reports them.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -23,15 +23,15 @@
     out.store_reachable = [](bool) {};
     out.rollout_ordered = [this](const ServiceName& service,
                                  const RolloutOrder* order) {
-      heard.push_back(service.value + " " +
-                      (order == nullptr ? "none" : order->version.value));
+      reported.push_back(service.value + " " +
+                         (order == nullptr ? "none" : order->version.value));
     };
     return out;
   }
-  void Reads(const std::vector<StoreItem>& items, StoreRevision revision) {
+  void StoreHas(const std::vector<StoreItem>& items, StoreRevision revision) {
     BOOST_TEST(store.AnswerRange("c/", {StoreEnd::kDone, revision, items}));
   }
-  void Shows(const StoreChange& change) {
+  void StoreShows(const StoreChange& change) {
     StoreChanges out;
     out.end = StoreEnd::kDone;
     out.revision = change.item.revision;
@@ -39,36 +39,36 @@
     BOOST_TEST(store.AnswerWait("c/", out));
     RunFor(loop, std::chrono::milliseconds(250));
   }
-  std::vector<std::string> Take() { return std::exchange(heard, {}); }
+  std::vector<std::string> TakeReports() { return std::exchange(reported, {}); }
 
   const SystemClock clock;
   Loop loop;
   ScriptedStore store;
   PlainStateReader reader;
-  std::vector<std::string> heard;
+  std::vector<std::string> reported;
   ConfigFollower follower{
       {loop, clock, store, TheFeedChart()}, reader, Handlers()};
 };
 
-using Heard = std::vector<std::string>;
+using Reports = std::vector<std::string>;
 
 BOOST_FIXTURE_TEST_CASE(OrdersAreHandedOnAsTheyComeAndGo, Fixture) {
-  Reads({{"c/rollout/s", "v2", 3}, {"c/config", "7", 2}}, 3);
-  BOOST_TEST((Take() == Heard{"s v2"}));
-  Shows({{"c/rollout/s", "v3", 4}, false});
-  BOOST_TEST((Take() == Heard{"s v3"}));
-  Shows({{"c/rollout/s", "", 5}, true});
-  BOOST_TEST((Take() == Heard{"s none"}));
+  StoreHas({{"c/rollout/s", "v2", 3}, {"c/config", "7", 2}}, 3);
+  BOOST_TEST((TakeReports() == Reports{"s v2"}));
+  StoreShows({{"c/rollout/s", "v3", 4}, false});
+  BOOST_TEST((TakeReports() == Reports{"s v3"}));
+  StoreShows({{"c/rollout/s", "", 5}, true});
+  BOOST_TEST((TakeReports() == Reports{"s none"}));
   BOOST_TEST(follower.version() == 7U);
 }
 
-// One that can't be read takes the one before it not back.
+// An order that can't be read doesn't withdraw the one before it.
 BOOST_FIXTURE_TEST_CASE(AnUnreadableOrderChangesNothing, Fixture) {
-  Reads({{"c/rollout/s", "v2", 3}}, 3);
-  Take();
-  Shows({{"c/rollout/s", "", 4}, false});
-  Shows({{"c/rollout/other", "", 5}, false});
-  BOOST_TEST(Take().empty());
+  StoreHas({{"c/rollout/s", "v2", 3}}, 3);
+  TakeReports();
+  StoreShows({{"c/rollout/s", "", 4}, false});
+  StoreShows({{"c/rollout/other", "", 5}, false});
+  BOOST_TEST(TakeReports().empty());
 }
 
 }  // namespace
--- a/relay/testing/state_feed_test.cc
+++ b/relay/testing/state_feed_test.cc
@@ -1,5 +1,5 @@
-// How routers of a large fleet are told what the store has, and when they ask
-// it themselves.
+// How routers of a large fleet receive the store's state from readers, and when
+// they call the store themselves.
 
 #include "relay/state_feed.h"
 
@@ -13,28 +13,28 @@
 
 using std::chrono::milliseconds;
 
-// Beyond the longest time that a router does without a sign.
+// Longer than a router relies on the last heartbeat.
 constexpr Duration kStaleAfter = milliseconds(1900);
-// Beyond the time after which a reader is asked again.
-constexpr Duration kAskedAgain = milliseconds(450);
+// Longer than the time after which a request is repeated.
+constexpr Duration kRequestRepeated = milliseconds(450);
 
-// Beyond the time that a router which starts waits for readers.
-constexpr Duration kReadItself = milliseconds(3200);
+// Longer than a starting router waits for readers.
+constexpr Duration kReadsStore = milliseconds(3200);
 
-// Two readers, a and b, and a router that is told.
+// Two readers, a and b, and a router that relies on them.
 struct Fixture {
   Fixture()
       : a(fleet.Add("a", true)),
         b(fleet.Add("b", true)),
-        told(fleet.Add("told", false)) {
+        follower(fleet.Add("told", false)) {
     fleet.store.Put("t/1", "one");
     fleet.store.Put("t/2", "two");
     fleet.StartAll();
-    fleet.BroadcastSigns();
+    fleet.BroadcastHeartbeats();
   }
 
   FeedItems Now() const { return fleet.store.ItemsAt(fleet.store.revision()); }
-  PeerMessage News(std::int64_t since, std::int64_t revision) const {
+  PeerMessage Update(std::int64_t since, std::int64_t revision) const {
     PeerMessage out;
     out.kind = PeerMessageKind::kNews;
     out.from = a.self;
@@ -44,14 +44,14 @@
     out.news.changes = fleet.store.Changes(since, revision);
     return out;
   }
-  static PeerMessage Sign(const FeedNode& node) {
+  static PeerMessage Heartbeat(const FeedNode& node) {
     PeerMessage out;
     out.from = node.self;
     out.marks[FeedName::kTargets] = *node.feed.Mark();
     return out;
   }
-  // Time without any sign.
-  void Silence(Duration time) {
+  // Lets time pass without any heartbeat.
+  void PassTimeSilently(Duration time) {
     fleet.clock.now += time;
     for (auto& it : fleet.nodes) it->feed.Check();
     fleet.Turn();
@@ -60,21 +60,21 @@
   FeedFleet fleet;
   FeedNode& a;
   FeedNode& b;
-  FeedNode& told;
+  FeedNode& follower;
 };
 
-// A router that starts among readers makes no call of its own.
+// A router that starts in a fleet with readers makes no call of its own.
 BOOST_FIXTURE_TEST_CASE(ARouterThatStartsIsSentAllItemsByAReader, Fixture) {
   FeedNode& late = fleet.Add("late", false);
   late.feed.StartFromReaders();
-  fleet.BroadcastSigns();
-  RunFor(fleet.loop, kAskedAgain);
+  fleet.BroadcastHeartbeats();
+  RunFor(fleet.loop, kRequestRepeated);
   fleet.DeliverAll();
   BOOST_TEST((late.items == Now()));
   BOOST_TEST(late.client.calls() == 0U);
-  fleet.BroadcastSigns();
+  fleet.BroadcastHeartbeats();
   BOOST_TEST((late.feed.state() == FeedState::kTold));
-  RunFor(fleet.loop, kReadItself);
+  RunFor(fleet.loop, kReadsStore);
   BOOST_TEST(late.client.calls() == 0U);
 }
 
@@ -83,11 +83,11 @@
   FeedNode& late = fleet.Add("late", false);
   fleet.store.Put("t/1", "one");
   late.feed.StartFromReaders();
-  RunFor(fleet.loop, kReadItself);
+  RunFor(fleet.loop, kReadsStore);
   BOOST_TEST((late.items == fleet.store.ItemsAt(fleet.store.revision())));
 }
 
-// Each answer to a reader is told on, to the feeds beside it.
+// Each answer to a reader is reported to the other feeds of its process.
 BOOST_AUTO_TEST_CASE(AnAnswerOfTheStoreIsToldToOtherFeeds) {
   FeedFleet fleet;
   FeedNode& it = fleet.Add("vm", true);
@@ -96,12 +96,13 @@
   const int before = it.answers;
   BOOST_TEST(before > 0);
   fleet.store.Put("t/2", "two");
-  fleet.Spread();
+  fleet.Propagate();
   BOOST_TEST(it.answers == before + 1);
 }
 
-// A reader whose store answers nobody else waits as briefly as it must: an
-// answer of its own says nothing of how often it will be answered.
+// A reader on a process without other calls to the store keeps its waits as
+// short as required: its own answers say nothing of how often other calls are
+// answered.
 BOOST_AUTO_TEST_CASE(TheOwnAnswersDontLengthenAReadersWaits) {
   const SystemClock clock;
   Loop loop;
@@ -136,7 +137,7 @@
   fleet.clock.now += kStaleAfter;
   it.feed.Check();
   fleet.store.Put("t/2", "two");
-  fleet.Spread();
+  fleet.Propagate();
   BOOST_TEST((it.feed.state() == FeedState::kReading));
   BOOST_TEST(it.items.size() == 2U);
   BOOST_TEST(!it.feed.Mark().has_value());
@@ -144,19 +145,19 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(ASignOfACurrentReaderEndsARoutersOwnCalls, Fixture) {
-  BOOST_TEST((told.feed.state() == FeedState::kTold));
-  BOOST_TEST(!told.client.waits());
+  BOOST_TEST((follower.feed.state() == FeedState::kTold));
+  BOOST_TEST(!follower.client.waits());
   BOOST_TEST(a.client.waits());
-  BOOST_TEST((told.items == Now()));
+  BOOST_TEST((follower.items == Now()));
 }
 
 BOOST_FIXTURE_TEST_CASE(ChangesReachThoseThatAreTold, Fixture) {
-  const auto calls = told.client.calls();
+  const auto calls = follower.client.calls();
   fleet.store.Put("t/3", "three");
   fleet.store.Remove("t/1");
-  fleet.Spread();
-  BOOST_TEST((told.items == Now()));
-  BOOST_TEST(told.client.calls() == calls);
+  fleet.Propagate();
+  BOOST_TEST((follower.items == Now()));
+  BOOST_TEST(follower.client.calls() == calls);
 }
 
 BOOST_FIXTURE_TEST_CASE(WhoHasMissedChangesAsksForAllItems, Fixture) {
@@ -166,9 +167,9 @@
   fleet.Turn();
   fleet.sent.clear();
   fleet.store.Put("t/4", "four");
-  fleet.Spread();
-  BOOST_TEST((told.items == Now()));
-  BOOST_TEST((told.feed.state() == FeedState::kTold));
+  fleet.Propagate();
+  BOOST_TEST((follower.items == Now()));
+  BOOST_TEST((follower.feed.state() == FeedState::kTold));
 }
 
 BOOST_FIXTURE_TEST_CASE(ALostAnswerIsAskedForAgainElsewhere, Fixture) {
@@ -176,120 +177,120 @@
   a.client.AnswerWait();
   fleet.Turn();
   fleet.sent.clear();
-  PeerMessage sign;
-  sign.from = a.self;
-  sign.marks[FeedName::kTargets] = {3, {}};
-  told.feed.OnPeer(sign);
+  PeerMessage heartbeat;
+  heartbeat.from = a.self;
+  heartbeat.marks[FeedName::kTargets] = {3, {}};
+  follower.feed.OnPeer(heartbeat);
   BOOST_REQUIRE(fleet.sent.size() == 1U);
   const Incarnation first = fleet.sent.front().to;
   fleet.sent.clear();
-  RunFor(fleet.loop, kAskedAgain);
+  RunFor(fleet.loop, kRequestRepeated);
   BOOST_REQUIRE(fleet.sent.size() == 1U);
   BOOST_TEST((fleet.sent.front().to != first));
 }
 
 BOOST_FIXTURE_TEST_CASE(OldNewsTakeNothingBack, Fixture) {
   fleet.store.Put("t/1", "newer");
-  const PeerMessage older = News(2, 3);
+  const PeerMessage older = Update(2, 3);
   fleet.store.Remove("t/1");
-  fleet.Spread();
-  BOOST_REQUIRE((told.items == Now()));
-  told.feed.OnPeer(older);
-  PeerMessage whole = older;
-  whole.kind = PeerMessageKind::kState;
-  whole.news.since = 0;
-  told.feed.OnPeer(whole);
-  BOOST_TEST((told.items == Now()));
+  fleet.Propagate();
+  BOOST_REQUIRE((follower.items == Now()));
+  follower.feed.OnPeer(older);
+  PeerMessage full = older;
+  full.kind = PeerMessageKind::kState;
+  full.news.since = 0;
+  follower.feed.OnPeer(full);
+  BOOST_TEST((follower.items == Now()));
 }
 
 BOOST_FIXTURE_TEST_CASE(NewsThatCantBeChangeNothing, Fixture) {
   fleet.store.Put("t/3", "three");
-  const FeedItems before = told.items;
-  PeerMessage stranger = News(2, 3);
-  stranger.from = Incarnation("told@1");
-  PeerMessage backwards = News(2, 3);
+  const FeedItems before = follower.items;
+  PeerMessage not_from_reader = Update(2, 3);
+  not_from_reader.from = Incarnation("told@1");
+  PeerMessage backwards = Update(2, 3);
   backwards.news.since = 4;
-  PeerMessage beyond = News(2, 3);
+  PeerMessage beyond = Update(2, 3);
   beyond.news.changes[0].item.revision = 9;
-  PeerMessage negative = News(2, 3);
+  PeerMessage negative = Update(2, 3);
   negative.news.since = -1;
-  for (const PeerMessage& it : {stranger, backwards, beyond, negative}) {
-    told.feed.OnPeer(it);
-    BOOST_TEST((told.items == before));
+  for (const PeerMessage& it : {not_from_reader, backwards, beyond, negative}) {
+    follower.feed.OnPeer(it);
+    BOOST_TEST((follower.items == before));
   }
-  BOOST_TEST(!told.feed.HasRead(3));
+  BOOST_TEST(!follower.feed.HasRead(3));
 }
 
 BOOST_FIXTURE_TEST_CASE(OfAnotherFeedNothingIsTaken, Fixture) {
   fleet.store.Put("t/3", "three");
-  PeerMessage it = News(2, 3);
+  PeerMessage it = Update(2, 3);
   it.news.feed = FeedName::kConfig;
-  told.feed.OnPeer(it);
-  BOOST_TEST(!told.feed.HasRead(3));
+  follower.feed.OnPeer(it);
+  BOOST_TEST(!follower.feed.HasRead(3));
 }
 
 BOOST_FIXTURE_TEST_CASE(WithoutSignsARouterAsksTheStore, Fixture) {
   a.client.cut = b.client.cut = true;
-  Silence(kStaleAfter);
-  BOOST_TEST((told.feed.state() == FeedState::kReading));
+  PassTimeSilently(kStaleAfter);
+  BOOST_TEST((follower.feed.state() == FeedState::kReading));
   fleet.store.Put("t/3", "three");
-  fleet.Spread();
-  BOOST_TEST((told.items == Now()));
+  fleet.Propagate();
+  BOOST_TEST((follower.items == Now()));
 }
 
-// Dead, frozen or cut off from this router: one of two is enough.
+// The other reader may be dead, frozen or cut off from this router.
 BOOST_FIXTURE_TEST_CASE(OneReaderOfTwoIsEnough, Fixture) {
   fleet.nodes[0]->is_reader = true;
   for (int n = 0; n < 5; ++n) {
     fleet.clock.now += milliseconds(900);
-    PeerMessage sign;
-    sign.from = b.self;
-    sign.marks[FeedName::kTargets] = {2, {}};
-    told.feed.OnPeer(sign);
-    told.feed.Check();
-    BOOST_TEST((told.feed.state() == FeedState::kTold));
+    PeerMessage heartbeat;
+    heartbeat.from = b.self;
+    heartbeat.marks[FeedName::kTargets] = {2, {}};
+    follower.feed.OnPeer(heartbeat);
+    follower.feed.Check();
+    BOOST_TEST((follower.feed.state() == FeedState::kTold));
   }
 }
 
-// A reader that lives and has lost the store goes on sending signs of life; the
-// age in them tells.
+// A reader that has lost the store goes on sending heartbeats; their age shows
+// the loss.
 BOOST_FIXTURE_TEST_CASE(ReadersWithoutTheStoreHoldNobodyBack, Fixture) {
   a.client.cut = b.client.cut = true;
   for (int n = 0; n < 5; ++n) {
-    Silence(milliseconds(450));
-    fleet.BroadcastSigns();
+    PassTimeSilently(milliseconds(450));
+    fleet.BroadcastHeartbeats();
   }
-  BOOST_TEST((told.feed.state() == FeedState::kReading));
+  BOOST_TEST((follower.feed.state() == FeedState::kReading));
   fleet.store.Put("t/3", "three");
-  fleet.Spread();
-  BOOST_TEST((told.items == Now()));
+  fleet.Propagate();
+  BOOST_TEST((follower.items == Now()));
 }
 
 BOOST_FIXTURE_TEST_CASE(AReaderWithoutTheStoreIsToldByOthersAndTellsItsHall,
                         Fixture) {
   FeedNode& far = fleet.Add("far", true, "other hall");
-  FeedNode& far_told = fleet.Add("far-told", false, "other hall");
-  far.client.cut = far_told.client.cut = true;
+  FeedNode& far_follower = fleet.Add("far-told", false, "other hall");
+  far.client.cut = far_follower.client.cut = true;
   far.feed.Start();
-  far_told.feed.Start();
+  far_follower.feed.Start();
   fleet.SetRoles();
-  // It learns from the others' signs that there is something.
-  fleet.BroadcastSigns();
-  RunFor(fleet.loop, kAskedAgain);
+  // It learns from the other readers' heartbeats that it is behind.
+  fleet.BroadcastHeartbeats();
+  RunFor(fleet.loop, kRequestRepeated);
   fleet.DeliverAll();
   BOOST_TEST((far.items == Now()));
-  fleet.BroadcastSigns();
-  RunFor(fleet.loop, kAskedAgain);
+  fleet.BroadcastHeartbeats();
+  RunFor(fleet.loop, kRequestRepeated);
   fleet.DeliverAll();
-  BOOST_TEST((far_told.items == Now()));
+  BOOST_TEST((far_follower.items == Now()));
   fleet.store.Put("t/3", "three");
-  fleet.Spread();
+  fleet.Propagate();
   BOOST_TEST((far.items == Now()));
-  BOOST_TEST((far_told.items == Now()));
+  BOOST_TEST((far_follower.items == Now()));
 }
 
-// Holders call the store for the budgets; each answer is a sign that a change
-// would have been told.
+// Holders call the store for the budgets; each answer shows that the store
+// would have reported a change.
 BOOST_FIXTURE_TEST_CASE(AnyAnswerShowsAReaderThatItIsCurrent, Fixture) {
   fleet.clock.now += milliseconds(1200);
   BOOST_TEST((a.feed.Mark()->age >= milliseconds(1200)));
@@ -308,21 +309,21 @@
   BOOST_TEST(!late.feed.Mark().has_value());
 }
 
-// Two readers that both have lost the store tell each other all the time.
+// Two readers that have both lost the store exchange heartbeats all the time.
 BOOST_FIXTURE_TEST_CASE(ReadersDontKeepEachOtherCurrent, Fixture) {
-  constexpr Duration kTakesOnTheWay = milliseconds(60);
+  constexpr Duration kTransitTime = milliseconds(60);
   a.client.cut = b.client.cut = true;
   for (int n = 0; n < 60; ++n) {
-    const PeerMessage from_a = Sign(a);
-    const PeerMessage from_b = Sign(b);
-    fleet.clock.now += kTakesOnTheWay;
+    const PeerMessage from_a = Heartbeat(a);
+    const PeerMessage from_b = Heartbeat(b);
+    fleet.clock.now += kTransitTime;
     a.feed.OnPeer(from_b);
     b.feed.OnPeer(from_a);
   }
   BOOST_TEST((a.feed.Mark()->age > milliseconds(3000)));
 }
 
-// A list read in two pages: one item of the second is newer than a change of
+// A list is read in two pages: an item of the second is newer than a change to
 // the first that was missed.
 BOOST_AUTO_TEST_CASE(AnItemOfALaterPageIsNoProofOfEarlierChanges) {
   Loop loop;
@@ -343,35 +344,36 @@
   feed.Start();
   BOOST_TEST(store.AnswerRange(
       "t/", {StoreEnd::kDone, 100, {{"t/1", "", 90}, {"t/9", "", 105}}}));
-  PeerMessage sign;
-  sign.from = reader;
-  sign.marks[FeedName::kTargets] = {105, {}};
-  feed.OnPeer(sign);
+  PeerMessage heartbeat;
+  heartbeat.from = reader;
+  heartbeat.marks[FeedName::kTargets] = {105, {}};
+  feed.OnPeer(heartbeat);
   BOOST_TEST((feed.state() == FeedState::kReading));
 }
 
 BOOST_FIXTURE_TEST_CASE(AReadersReturnEndsARoutersOwnCalls, Fixture) {
-  Silence(kStaleAfter);
-  BOOST_REQUIRE((told.feed.state() == FeedState::kReading));
+  PassTimeSilently(kStaleAfter);
+  BOOST_REQUIRE((follower.feed.state() == FeedState::kReading));
   fleet.store.Put("t/3", "three");
-  fleet.Spread();
-  fleet.BroadcastSigns();
-  BOOST_TEST((told.feed.state() == FeedState::kTold));
-  BOOST_TEST(!told.client.waits());
+  fleet.Propagate();
+  fleet.BroadcastHeartbeats();
+  BOOST_TEST((follower.feed.state() == FeedState::kTold));
+  BOOST_TEST(!follower.client.waits());
 }
 
-// What vanishes around an outage is kept for a while, so a router that is told
-// has to learn of an outage too, before what it removed.
+// Targets that vanish around an outage are kept for a while, so a router that
+// relies on readers has to learn of the outage before the removals made during
+// it.
 BOOST_FIXTURE_TEST_CASE(AnOutageIsReportedBeforeWhatItRemoved, Fixture) {
   for (auto& it : fleet.nodes) it->client.cut = true;
-  Silence(kStaleAfter);
-  BOOST_TEST((told.reachable == std::vector<bool>{false}));
+  PassTimeSilently(kStaleAfter);
+  BOOST_TEST((follower.reachable == std::vector<bool>{false}));
   fleet.store.Remove("t/1");
   for (auto& it : fleet.nodes) it->client.cut = false;
-  told.client.cut = true;
-  fleet.Spread();
-  BOOST_TEST((told.reachable == std::vector<bool>{false, true}));
-  BOOST_TEST((told.items == Now()));
+  follower.client.cut = true;
+  fleet.Propagate();
+  BOOST_TEST((follower.reachable == std::vector<bool>{false, true}));
+  BOOST_TEST((follower.items == Now()));
 }
 
 BOOST_FIXTURE_TEST_CASE(LargeChangesAreAskedForOnce, Fixture) {
@@ -387,17 +389,18 @@
   }
   BOOST_TEST(values == 0U);
   fleet.DeliverAll();
-  BOOST_TEST((told.items == Now()));
+  BOOST_TEST((follower.items == Now()));
 }
 
-// A release in a large list: whoever asked would be sent all of it.
+// During a release, each router that sent a request would be sent a large
+// answer.
 BOOST_FIXTURE_TEST_CASE(ManySmallChangesOfALongListAreSentUnasked, Fixture) {
   const std::string entry(300, 'x');
   for (int n = 0; n < 500; ++n) {
     fleet.store.Put("t/n" + std::to_string(n), entry);
   }
-  fleet.Spread();
-  BOOST_REQUIRE((told.items == Now()));
+  fleet.Propagate();
+  BOOST_REQUIRE((follower.items == Now()));
   for (int n = 0; n < 50; ++n) {
     fleet.store.Put("t/n" + std::to_string(n), entry + "y");
   }
@@ -408,19 +411,19 @@
     BOOST_TEST(!it.message.news.only_notice);
   }
   fleet.DeliverAll();
-  BOOST_TEST((told.items == Now()));
+  BOOST_TEST((follower.items == Now()));
 }
 
 BOOST_FIXTURE_TEST_CASE(ARouterBecomesAReaderAndTellsTheNext, Fixture) {
   a.is_reader = b.is_reader = false;
-  told.is_reader = true;
+  follower.is_reader = true;
   fleet.SetRoles();
   fleet.Turn();
-  BOOST_TEST(told.feed.Mark().has_value());
-  fleet.BroadcastSigns();
+  BOOST_TEST(follower.feed.Mark().has_value());
+  fleet.BroadcastHeartbeats();
   BOOST_TEST((a.feed.state() == FeedState::kTold));
   fleet.store.Put("t/3", "three");
-  fleet.Spread();
+  fleet.Propagate();
   BOOST_TEST((a.items == Now()));
   BOOST_TEST((b.items == Now()));
 }
--- a/relay/testing/target_follower_test.cc
+++ b/relay/testing/target_follower_test.cc
@@ -1,5 +1,5 @@
-// The list of targets as it is followed: what is kept through an outage of the
-// store, and when the store is asked again.
+// The list of targets as the router follows it: which entries are kept through
+// an outage of the store, and when the store is called again.
 
 #include "relay/target_follower.h"
 
@@ -14,12 +14,13 @@
 
 using std::chrono::milliseconds;
 
-// A target that vanishes around an outage is kept between these times.
+// A target that vanishes around an outage is kept for more than the first and
+// less than the sum of both.
 constexpr Duration kKeptFor = milliseconds(1400);
 constexpr Duration kGoneAfter = milliseconds(600);
-// Beyond the time that the own watch is given before the store is asked again.
-constexpr Duration kAskedBy = milliseconds(450);
-// Beyond the pause after an answer with changes.
+// Longer than the open wait is given before the store is called again.
+constexpr Duration kCalledAgainBy = milliseconds(450);
+// Longer than the pause after an answer with changes.
 constexpr Duration kNextWait = milliseconds(500);
 
 void PeerKnows(TargetFollower& follower, std::int64_t revision) {
@@ -76,8 +77,8 @@
   BOOST_TEST(changes == 3);
 }
 
-// It may be of another writer: the target is no longer listed, and the others
-// stay.
+// The entry may come from another program: its target is no longer listed, and
+// the others stay.
 BOOST_FIXTURE_TEST_CASE(AnEntryThatCantBeReadNamesNoTarget, Fixture) {
   StoreShows("t/a", "unheard of", 3);
   BOOST_TEST(!Listed("a"));
@@ -129,8 +130,8 @@
   BOOST_TEST(!Leaving("a"));
 }
 
-// Each user of the store that has it back says so; a target that left is kept
-// no longer for that.
+// Guards against a target that left being kept longer because each client of
+// the store reports its return.
 BOOST_FIXTURE_TEST_CASE(FurtherSignsOfTheStoresReturnKeepNothingLonger,
                         Fixture) {
   follower.OnStoreReachable(false);
@@ -142,7 +143,7 @@
   follower.OnStoreReachable(true);
   RunFor(loop, kGoneAfter);
   BOOST_TEST(!Listed("a"));
-  // The time that began with the first sign is over for later ones too.
+  // The period that the first report started is over for later targets too.
   StoreRemoves("t/b", 4);
   BOOST_TEST(!Listed("b"));
 }
@@ -168,24 +169,24 @@
 BOOST_FIXTURE_TEST_CASE(AChangeThatPeersHaveReadIsAskedForAgain, Fixture) {
   PeerKnows(follower, 3);
   RunFor(loop, milliseconds(100));
-  // The own watch is given a moment first.
+  // The open wait comes first.
   BOOST_TEST(store.waits.started_by_key["t/"] == 1);
-  RunFor(loop, kAskedBy);
+  RunFor(loop, kCalledAgainBy);
   BOOST_TEST(store.waits.started_by_key["t/"] == 2);
 }
 
 BOOST_FIXTURE_TEST_CASE(AChangeThatHasBeenReadIsNotAskedForAgain, Fixture) {
   PeerKnows(follower, 2);
-  RunFor(loop, kAskedBy);
+  RunFor(loop, kCalledAgainBy);
   BOOST_TEST(store.waits.started_by_key["t/"] == 1);
-  // The own watch brings it in time; the next wait is the usual one.
+  // The open wait reports the change in time; the next wait is the usual one.
   PeerKnows(follower, 3);
   StoreShows("t/c", "ready", 3);
   RunFor(loop, kNextWait);
   BOOST_TEST(store.waits.started_by_key["t/"] == 2);
 }
 
-// Routers that the store doesn't reach go by what answers and peers say.
+// Routers without the store rely on answers of targets and on peers.
 BOOST_FIXTURE_TEST_CASE(ATargetLeavesByItsAnswerOrAPeersWord, Fixture) {
   const int before = changes;
   BOOST_TEST(follower.OnSaysLeaving(
@@ -204,8 +205,8 @@
   BOOST_TEST(changes == before + 2);
 }
 
-// Guards against new work for a target that had gone, or was leaving, when the
-// store came back from a copy that still had it ready.
+// Guards against new work for a target that had left, or was leaving, when the
+// store came back from a copy in which it was ready.
 BOOST_FIXTURE_TEST_CASE(AnOlderCopyBringsNoTargetBack, Fixture) {
   StoreShows("t/a", "leaving", 3);
   RunFor(loop, kNextWait);
@@ -218,23 +219,23 @@
              {{"t/a", "ready", {2, 1}}, {"t/b", "ready", {2, 2}}}}));
   BOOST_TEST(Leaving("a"));
   BOOST_TEST(!Listed("b"));
-  // However often it is read.
+  // The same after another read.
   follower.feed().AskFor({3, 0});
   BOOST_TEST(store.AnswerRange(
       "t/", {StoreEnd::kDone,
              {2, 2},
              {{"t/a", "ready", {2, 1}}, {"t/b", "ready", {2, 2}}}}));
   BOOST_TEST(!Listed("b"));
-  // Peers may have read the copy alone.
+  // Peers are notified, as they may have read nothing but the copy.
   BOOST_TEST(follower.registry().said_leaving().contains(TargetName("a")));
-  // It lives, and writes its entry again.
+  // The target is alive, and writes its entry again.
   BOOST_TEST(store.AnswerWait(
       "t/",
       {StoreEnd::kDone, false, {2, 3}, {{{"t/b", "ready", {2, 3}}, false}}}));
   BOOST_TEST(Listed("b"));
 }
 
-// Guards against a target that is dropped as the copy doesn't have it yet.
+// Guards against dropping a target because the copy doesn't have its entry yet.
 BOOST_FIXTURE_TEST_CASE(ATargetThatAnOlderCopyLacksIsKeptForAWhile, Fixture) {
   BOOST_TEST(store.AnswerWait("t/", {StoreEnd::kDone, false, {2, 1}, {}}));
   BOOST_TEST(store.AnswerRange(
--- a/relay/testing/the_feed_chart.h
+++ b/relay/testing/the_feed_chart.h
@@ -1,4 +1,5 @@
-// The chart of a feed, for tests: it has to outlive all that uses it.
+// The chart of a feed, for tests. It lives as long as the process, as it has to
+// outlive every feed. Call TheFeedChart() wherever a feed takes a chart.
 
 #ifndef QUAYTRACK_RELAY_TESTING_THE_FEED_CHART_H_
 #define QUAYTRACK_RELAY_TESTING_THE_FEED_CHART_H_
--- a/relay/testing/work_pacer_test.cc
+++ b/relay/testing/work_pacer_test.cc
@@ -1,4 +1,4 @@
-// How much of the time paced work takes.
+// The share of the time that paced work takes.
 
 #include "relay/work_pacer.h"
 
@@ -10,12 +10,12 @@
 using std::chrono::milliseconds;
 
 constexpr Instant kStart{std::chrono::hours(1)};
-constexpr int kRest = 3;
-constexpr Duration kLongest = milliseconds(200);
+constexpr int kRestFactor = 3;
+constexpr Duration kMaxRest = milliseconds(200);
 
-// Part of a minute that work takes which wants to run all the time.
-double PartOf(Duration work) {
-  WorkPacer it(kRest, kLongest);
+// The share of a minute that work takes if it is always due.
+double ShareOf(Duration work) {
+  WorkPacer it(kRestFactor, kMaxRest);
   Duration worked{};
   const Instant end = kStart + std::chrono::minutes(1);
   for (Instant now = kStart; now < end; now += milliseconds(1)) {
@@ -27,24 +27,24 @@
   return ToSeconds(worked) / 60;
 }
 
-// Holders of a fleet of 985 wrote one large record without a pause, and
-// answered nobody meanwhile.
+// Guards against work without pauses: in a fleet of 985, holders wrote one
+// large record all the time and answered no other router meanwhile.
 BOOST_AUTO_TEST_CASE(WorkThatTakesLongLeavesMostOfTheTime) {
   for (const int ms : {5, 20, 50}) {
-    BOOST_TEST(PartOf(milliseconds(ms)) <= 0.26);
-    BOOST_TEST(PartOf(milliseconds(ms)) >= 0.2);
+    BOOST_TEST(ShareOf(milliseconds(ms)) <= 0.26);
+    BOOST_TEST(ShareOf(milliseconds(ms)) >= 0.2);
   }
 }
 
 BOOST_AUTO_TEST_CASE(WorkThatTakesNoTimeIsNotHeldUp) {
-  WorkPacer it(kRest, kLongest);
+  WorkPacer it(kRestFactor, kMaxRest);
   it.OnWork(kStart, kStart);
   BOOST_TEST(it.MayWork(kStart));
 }
 
-// A process that stood still in the middle of it goes on soon.
+// A process that froze during the work continues after the maximum rest.
 BOOST_AUTO_TEST_CASE(NoRestIsLongerThanTheLongest) {
-  WorkPacer it(kRest, kLongest);
+  WorkPacer it(kRestFactor, kMaxRest);
   it.OnWork(kStart, kStart + std::chrono::seconds(4));
   BOOST_TEST(!it.MayWork(kStart + milliseconds(4199)));
   BOOST_TEST(it.MayWork(kStart + milliseconds(4200)));
