--- a/relay/testing/budgets_test.cc
+++ b/relay/testing/budgets_test.cc
@@ -614,16 +614,16 @@
 BOOST_FIXTURE_TEST_CASE(AnAskIsGivenOnceAndTakenOff, Fixture) {
   JoinAndStopClock();
   const Tokens before = Allowance();
-  PeerMessage request = Message(PeerMessageKind::kTransferWanted, 1000);
-  request.all = true;
-  budgets.OnPeer(request);
+  PeerMessage from_peer = Message(PeerMessageKind::kTransferWanted, 1000);
+  from_peer.all = true;
+  budgets.OnPeer(from_peer);
   const auto transfers = UnicastsOf(PeerMessageKind::kTransfer);
   BOOST_REQUIRE(transfers.size() == 1U);
   BOOST_TEST(transfers[0].to.value == kPeer.value);
   BOOST_TEST(transfers[0].message.amount == 1000);
   BOOST_TEST(Allowance() == before - 1000);
   // The message holds the running total of all transfers.
-  budgets.OnPeer(request);
+  budgets.OnPeer(from_peer);
   BOOST_TEST(UnicastsOf(PeerMessageKind::kTransfer).back().message.amount ==
              2000);
   BOOST_TEST(Allowance() == before - 2000);
@@ -679,9 +679,9 @@
 // wouldn't count what it held for the requester.
 BOOST_FIXTURE_TEST_CASE(AHolderThatDoesntKnowTheBudgetHoldsNothing, Fixture) {
   JoinAndStopClock();
-  PeerMessage request = Message(PeerMessageKind::kHoldWanted, 1000, "r");
-  request.customer = CustomerName("newcomer");
-  budgets.OnPeer(request);
+  PeerMessage from_peer = Message(PeerMessageKind::kHoldWanted, 1000, "r");
+  from_peer.customer = CustomerName("newcomer");
+  budgets.OnPeer(from_peer);
   const auto answers = UnicastsOf(PeerMessageKind::kHoldAnswer);
   BOOST_REQUIRE(answers.size() == 1U);
   BOOST_TEST((answers[0].message.answer == HoldAnswer::kElsewhere));
