--- a/relay/budget_driver.cc
+++ b/relay/budget_driver.cc
@@ -45,7 +45,7 @@
   HoldQueue::Handlers out;
   out.ask_peers = [this](const CustomerName& customer, Tokens waiting,
                          bool all) {
-    transfers_.AskPeers(clock_.Now(), customer, waiting, all);
+    transfers_.RequestFromPeers(clock_.Now(), customer, waiting, all);
   };
   out.answer = [this](const HoldWaiterPtr& it, PrepaidVerdict verdict) {
     PostAnswer(it, verdict);
@@ -59,7 +59,7 @@
     it.from = self_;
     if (on_.broadcast) on_.broadcast(it);
   };
-  out.tell = [this](const Incarnation& peer, const PeerMessage& it) {
+  out.send = [this](const Incarnation& peer, const PeerMessage& it) {
     SendTo(peer, it);
   };
   return out;
@@ -103,14 +103,14 @@
   }
   ledger_.SetLimits(map.version(), limits);
   queue_.Serve(clock_.Now());
-  store_.RunCycleSoon();
+  store_.ScheduleCycle();
 }
 
-void BudgetDriver::TakePartIfHolder() {
+void BudgetDriver::JoinIfHolder() {
   const bool is_holder = fleet_.IsRead() && fleet_.IsHolder(VmOf(self_));
   if (ledger_.KeepsGrants() || !is_holder) return;
   ledger_.KeepGrants();
-  store_.RunCycleSoon();
+  store_.ScheduleCycle();
 }
 
 void BudgetDriver::StartLeaving() {
@@ -139,7 +139,7 @@
     const HoldWaiterPtr& waiter) {
   // Requests that arrive before the list of routers has settled don't wait for
   // that.
-  TakePartIfHolder();
+  JoinIfHolder();
   if (ledger_.KeepsGrants()) return HoldFromGrant(waiter);
   RequestFromHolders(waiter);
   return PrepaidVerdict::kShort;
@@ -222,7 +222,7 @@
 
 void BudgetDriver::SendTo(const Incarnation& peer, PeerMessage message) {
   message.from = self_;
-  on_.tell(peer, message);
+  on_.send(peer, message);
 }
 
 void BudgetDriver::OnPeer(const PeerMessage& message) {
@@ -233,8 +233,8 @@
     case PeerMessageKind::kTransfer:
       transfers_.OnTransfer(message);
       return queue_.Serve(clock_.Now());
-    case PeerMessageKind::kTransferWanted:
-      return transfers_.OnWanted(clock_.Now(), message);
+    case PeerMessageKind::kTransferRequest:
+      return transfers_.OnTransferRequest(clock_.Now(), message);
     case PeerMessageKind::kHoldWanted:
       return served_.OnHoldWanted(message);
     case PeerMessageKind::kSettle:
@@ -245,10 +245,10 @@
       return remote_.OnAcknowledged(message);
     case PeerMessageKind::kPing:
     case PeerMessageKind::kPromptSent:
-    case PeerMessageKind::kConfigWanted:
+    case PeerMessageKind::kConfigRequest:
     case PeerMessageKind::kConfig:
-    case PeerMessageKind::kNews:
-    case PeerMessageKind::kStateWanted:
+    case PeerMessageKind::kUpdate:
+    case PeerMessageKind::kStateRequest:
     case PeerMessageKind::kState:
     case PeerMessageKind::kCrashes:
     case PeerMessageKind::kRateLimits:
--- a/relay/budget_driver.h
+++ b/relay/budget_driver.h
@@ -56,7 +56,7 @@
     // Sends a message to all linked peers.
     std::function<void(const PeerMessage&)> broadcast;
     // Sends a message to one of them.
-    std::function<void(const Incarnation&, const PeerMessage&)> tell;
+    std::function<void(const Incarnation&, const PeerMessage&)> send;
     // The linked incarnation of a VM; empty if none is linked.
     std::function<Incarnation(const VmName&)> linked;
     // The store was lost (false) or is back (true).
@@ -77,7 +77,7 @@
   // The store has come back in a later era.
   void OnStoreEra() { store_.OnStoreEra(); }
   // Starts to keep grants if the list of routers makes this router a holder.
-  void TakePartIfHolder();
+  void JoinIfHolder();
   // The list of routers was read; requests that waited for it continue.
   void OnFleetRead();
 
--- a/relay/config_follower.cc
+++ b/relay/config_follower.cc
@@ -54,7 +54,7 @@
 
 void ConfigFollower::AdoptStoredHallsLater() {
   if (!halls_.HasCarried()) return;
-  stored_halls_timer_ = loop_.After(kWrittenAgainWithin, [this] {
+  stored_halls_timer_ = loop_.After(kRewriteTime, [this] {
     stored_halls_timer_.reset();
     ReportHalls(halls_.TakeShown(), Source::kStore);
   });
@@ -96,7 +96,7 @@
 
 void ConfigFollower::DropCarriedOrdersLater() {
   if (!orders_.HasCarried()) return;
-  carried_orders_timer_ = loop_.After(kWrittenAgainWithin, [this] {
+  carried_orders_timer_ = loop_.After(kRewriteTime, [this] {
     carried_orders_timer_.reset();
     NotifyOrders(orders_.DropCarried());
   });
@@ -144,7 +144,7 @@
     case PeerMessageKind::kConfig:
       AdoptIfHigher({message.item_key, message.item_value, 0}, Source::kPeer);
       return;
-    case PeerMessageKind::kConfigWanted:
+    case PeerMessageKind::kConfigRequest:
       SendTo(message.from);
       return;
     default:
@@ -166,11 +166,11 @@
 void ConfigFollower::RequestFromPeerLater(const Incarnation& peer) {
   if (request_timer_) return;
   const std::uint64_t old_version = version();
-  request_timer_ = loop_.After(kOwnWaitFirst, [this, peer, old_version] {
+  request_timer_ = loop_.After(kLocalWaitTime, [this, peer, old_version] {
     request_timer_.reset();
     if (version() != old_version) return;
     PeerMessage out;
-    out.kind = PeerMessageKind::kConfigWanted;
+    out.kind = PeerMessageKind::kConfigRequest;
     on_.send(peer, out);
   });
 }
--- a/relay/config_follower.h
+++ b/relay/config_follower.h
@@ -14,7 +14,7 @@
 //
 // Requests to peers. Each heartbeat of a peer (relay/peer_mesh.h, one a second)
 // carries the version that the peer has in force. A router that receives a
-// higher one first gives its own wait for changes some time (`kOwnWaitFirst`),
+// higher one first gives its own wait for changes some time (`kLocalWaitTime`),
 // as the store usually notifies all routers at once. If its version hasn't
 // changed by then, it sends a request to that peer, which sends the store's
 // item unchanged. Only one such request is in progress at a time; after a lost
@@ -28,7 +28,7 @@
 //
 // A store that comes back from an older copy of itself shows an older
 // configuration, which isn't adopted, and the halls as they were. Its state of
-// halls that are known here takes effect only `kWrittenAgainWithin` later, as
+// halls that are known here takes effect only `kRewriteTime` later, as
 // operators write again what was lost.
 //
 // In a large fleet most routers don't follow the store but receive updates from
@@ -62,7 +62,7 @@
  public:
   // Time after the first read of a later era. Operators write again within some
   // seconds what the store has lost.
-  static constexpr Duration kWrittenAgainWithin = std::chrono::seconds(10);
+  static constexpr Duration kRewriteTime = std::chrono::seconds(10);
 
   struct Handlers {
     // Another configuration is in force: the first one, or a higher version.
@@ -88,7 +88,7 @@
   void OnPeer(const PeerMessage& message);
   // The store is back; a wait that was open during the outage may never be
   // answered.
-  void AskStoreAgain() { feed_.AskAgain(); }
+  void RestartStoreWait() { feed_.RestartWait(); }
   StateFeed& feed() { return feed_; }
 
   // Null until a configuration was adopted.
--- a/relay/feed_chart.h
+++ b/relay/feed_chart.h
@@ -17,17 +17,17 @@
 
 namespace quaytrack {
 
-enum class FeedState { kReading, kTold, kReader };
+enum class FeedState { kReading, kNotified, kReader };
 enum class FeedEvent {
-  kToldFresh,  // a reader was current just now, and its state is known here
-  kStale,      // no reader was current for a while
-  kChosen,     // the list of routers makes this one a reader
-  kResigned,   // this router is no longer a reader
+  kReaderCurrent,  // a reader was current just now, and its state is known here
+  kStale,          // no reader was current for a while
+  kChosen,         // the list of routers makes this one a reader
+  kResigned,       // this router is no longer a reader
 };
 enum class FeedAction {
   kNone,
   kStopCalling,
-  kCallAgain,
+  kResumeCalls,
   kReadForAll,
   kReadForItself,
 };
@@ -36,14 +36,14 @@
 struct EnumTable<FeedState> {
   static constexpr auto kEntries =
       std::to_array<EnumEntry<FeedState>>({{FeedState::kReading, "reading"},
-                                           {FeedState::kTold, "told"},
+                                           {FeedState::kNotified, "told"},
                                            {FeedState::kReader, "reader"}});
 };
 
 template <>
 struct EnumTable<FeedEvent> {
   static constexpr auto kEntries = std::to_array<EnumEntry<FeedEvent>>(
-      {{FeedEvent::kToldFresh, "told_fresh"},
+      {{FeedEvent::kReaderCurrent, "told_fresh"},
        {FeedEvent::kStale, "stale"},
        {FeedEvent::kChosen, "chosen"},
        {FeedEvent::kResigned, "resigned"}});
@@ -54,7 +54,7 @@
   static constexpr auto kEntries = std::to_array<EnumEntry<FeedAction>>(
       {{FeedAction::kNone, "none"},
        {FeedAction::kStopCalling, "stop_calling"},
-       {FeedAction::kCallAgain, "call_again"},
+       {FeedAction::kResumeCalls, "call_again"},
        {FeedAction::kReadForAll, "read_for_all"},
        {FeedAction::kReadForItself, "read_for_itself"}});
 };
--- a/relay/feed_news.h
+++ b/relay/feed_news.h
@@ -2,7 +2,7 @@
 // (relay/state_feed.h).
 //
 //   FeedMark mark{latest, age};        // in each heartbeat of a reader
-//   FeedNews news;                     // changes, or all items
+//   FeedUpdate update;                     // changes, or all items
 //
 // Revisions are the store's. One revision describes what a router knows: it has
 // every change of the prefix up to there. An update names the revision at which
@@ -52,21 +52,22 @@
   Duration age{};
 };
 
-struct FeedNews {
+struct FeedUpdate {
   FeedName feed = FeedName::kConfig;
   // `changes` holds every change after `since` and up to `revision`. If it
   // holds all items (PeerMessageKind::kState), `since` is the lowest revision.
-  // In a request (kStateWanted), `since` is the revision that the sender knows.
+  // In a request (kStateRequest), `since` is the revision that the sender
+  // knows.
   StoreRevision since;
   StoreRevision revision;
   Duration age{};
   // There are changes, too large to be sent without a request; `changes` is
   // empty.
   bool only_notice = false;
-  // kStateWanted: the sender accepts pages. Older builds don't, and are sent
+  // kStateRequest: the sender accepts pages. Older builds don't, and are sent
   // all items at once.
   bool paged = false;
-  // kStateWanted, kState: the page starts after this key.
+  // kStateRequest, kState: the page starts after this key.
   std::string after;
   // kState: another page follows.
   bool more = false;
--- a/relay/feed_pages.cc
+++ b/relay/feed_pages.cc
@@ -17,21 +17,21 @@
 
 // --- At the reader -----------------------------------------------------------
 
-void FeedItemBook::Start(const std::vector<StoreItem>& items,
-                         StoreRevision revision) {
+void FeedItemTable::Start(const std::vector<StoreItem>& items,
+                          StoreRevision revision) {
   Clear();
   removals_since_ = revision;
   for (const StoreItem& it : items) Apply({it, false});
 }
 
-void FeedItemBook::Clear() {
+void FeedItemTable::Clear() {
   items_.clear();
   bytes_ = 0;
   removed_.clear();
   removals_since_ = {};
 }
 
-void FeedItemBook::Apply(const StoreChange& change) {
+void FeedItemTable::Apply(const StoreChange& change) {
   const auto it = items_.find(change.item.key);
   if (it != items_.end()) {
     bytes_ -= BytesOf(it->second);
@@ -43,12 +43,12 @@
     return;
   }
   removed_.push_back({change.item.key, change.item.revision});
-  if (removed_.size() <= kMostRemoved) return;
+  if (removed_.size() <= kMaxRemovals) return;
   removals_since_ = std::max(removals_since_, removed_.front().revision);
   removed_.pop_front();
 }
 
-std::vector<StoreChange> FeedItemBook::Replace(
+std::vector<StoreChange> FeedItemTable::Replace(
     const std::vector<StoreItem>& items, StoreRevision revision) {
   std::vector<StoreChange> out;
   std::set<std::string> missing;
@@ -70,15 +70,15 @@
   return out;
 }
 
-bool FeedItemBook::Covers(StoreRevision since, StoreRevision revision) const {
+bool FeedItemTable::Covers(StoreRevision since, StoreRevision revision) const {
   return since != StoreRevision() && since.era == revision.era &&
          since >= removals_since_;
 }
 
-std::optional<FeedNews> FeedItemBook::PageFor(const FeedNews& wanted,
-                                              StoreRevision revision) const {
+std::optional<FeedUpdate> FeedItemTable::PageFor(const FeedUpdate& wanted,
+                                                 StoreRevision revision) const {
   if (wanted.since >= revision) return std::nullopt;
-  FeedNews out;
+  FeedUpdate out;
   out.revision = revision;
   const bool covers = Covers(wanted.since, revision);
   if (covers) out.since = wanted.since;
@@ -89,14 +89,14 @@
   return out;
 }
 
-void FeedItemBook::AddRemovals(FeedNews& page) const {
+void FeedItemTable::AddRemovals(FeedUpdate& page) const {
   for (const Removal& it : removed_) {
     if (it.revision <= page.since || items_.contains(it.key)) continue;
     page.changes.push_back({{it.key, "", it.revision}, true});
   }
 }
 
-void FeedItemBook::AddItems(std::size_t max_bytes, FeedNews& page) const {
+void FeedItemTable::AddItems(std::size_t max_bytes, FeedUpdate& page) const {
   std::size_t bytes = 0;
   bool has_item = false;
   for (auto it = items_.upper_bound(page.after); it != items_.end(); ++it) {
@@ -114,23 +114,23 @@
 
 // --- At the router that is behind --------------------------------------------
 
-FeedNews FeedPageReader::Next(StoreRevision known) const {
-  FeedNews out;
+FeedUpdate FeedPageAssembler::Next(StoreRevision known) const {
+  FeedUpdate out;
   out.paged = true;
   out.since = partial_ ? partial_->since : known;
   if (partial_) out.after = partial_->changes.back().item.key;
   return out;
 }
 
-bool FeedPageReader::Follows(const FeedNews& page) const {
+bool FeedPageAssembler::Follows(const FeedUpdate& page) const {
   return partial_ && page.since == partial_->since &&
          page.revision.era == partial_->revision.era &&
          page.after == partial_->changes.back().item.key;
 }
 
-PageStep FeedPageReader::Take(const FeedNews& page) {
+PageStep FeedPageAssembler::AddPage(const FeedUpdate& page) {
   // The page has no key after which the next one could start.
-  if (page.more && page.changes.empty()) return PageStep::kPassedOver;
+  if (page.more && page.changes.empty()) return PageStep::kIgnored;
   if (page.after.empty()) {
     partial_ = page;
   } else if (Follows(page)) {
@@ -139,18 +139,18 @@
               std::back_inserter(partial_->changes));
   } else {
     DropIfOfEarlierEra(page);
-    return PageStep::kPassedOver;
+    return PageStep::kIgnored;
   }
-  return page.more ? PageStep::kGoesOn : PageStep::kComplete;
+  return page.more ? PageStep::kMorePages : PageStep::kComplete;
 }
 
 // Readers have no further page of an era that has ended.
-void FeedPageReader::DropIfOfEarlierEra(const FeedNews& page) {
+void FeedPageAssembler::DropIfOfEarlierEra(const FeedUpdate& page) {
   if (partial_ && partial_->revision.era < page.revision.era) Drop();
 }
 
-FeedNews FeedPageReader::Finish() {
-  FeedNews out = std::move(*partial_);
+FeedUpdate FeedPageAssembler::Finish() {
+  FeedUpdate out = std::move(*partial_);
   Drop();
   return out;
 }
--- a/relay/feed_pages.h
+++ b/relay/feed_pages.h
@@ -1,19 +1,19 @@
 // The pages in which a reader of the store sends changes to a router that is
 // behind.
 //
-//   FeedItemBook book;                        // at the reader
-//   book.Start(items, revision);
-//   book.Apply(change);
-//   if (auto page = book.PageFor(wanted, book_revision)) send(*page);
+//   FeedItemTable table;                     // at the reader
+//   table.Start(items, revision);
+//   table.Apply(change);
+//   if (auto page = table.PageFor(wanted, table_revision)) send(*page);
 //
-//   FeedPageReader pages;                     // at the router that is behind
-//   request(pages.Next(known));
-//   if (pages.Take(page) == PageStep::kComplete) use(pages.Finish());
+//   FeedPageAssembler answer;                // at the router that is behind
+//   request(answer.Next(known));
+//   if (answer.AddPage(page) == PageStep::kComplete) use(answer.Finish());
 //
 // A page holds the items that changed after the requester's revision, in the
 // order of keys, starting after the last key of the previous page. The first
 // page also holds the keys that were removed since then. A reader remembers
-// `kMostRemoved` removals; a router that is further behind is sent all items.
+// `kMaxRemovals` removals; a router that is further behind is sent all items.
 //
 // A reader keeps no state for a requester between two pages, so the requester
 // may turn to another reader for the next page, and a reader may end at any
@@ -42,14 +42,14 @@
 namespace quaytrack {
 
 // The items of one prefix, and its latest removals.
-class FeedItemBook {
+class FeedItemTable {
  public:
   // Size of one page in bytes of keys and values; a larger item is sent in a
   // page of its own. The bound is needed because all routers of a hall may send
   // requests to one reader at the same moment.
   static constexpr std::size_t kPageBytes = 32 * 1024;
   // Number of removals that are remembered.
-  static constexpr std::size_t kMostRemoved = 4096;
+  static constexpr std::size_t kMaxRemovals = 4096;
 
   // Sets all items, as of `revision`; earlier removals are unknown.
   void Start(const std::vector<StoreItem>& items, StoreRevision revision);
@@ -64,8 +64,8 @@
   // The page that answers `wanted`, as of `revision`. Its `since` and `after`
   // differ from those of `wanted` if all items have to be sent instead.
   // std::nullopt if the requester already knows `revision` or a later one.
-  std::optional<FeedNews> PageFor(const FeedNews& wanted,
-                                  StoreRevision revision) const;
+  std::optional<FeedUpdate> PageFor(const FeedUpdate& wanted,
+                                    StoreRevision revision) const;
 
  private:
   struct Removal {
@@ -74,8 +74,8 @@
   };
 
   bool Covers(StoreRevision since, StoreRevision revision) const;
-  void AddRemovals(FeedNews& page) const;
-  void AddItems(std::size_t max_bytes, FeedNews& page) const;
+  void AddRemovals(FeedUpdate& page) const;
+  void AddItems(std::size_t max_bytes, FeedUpdate& page) const;
 
   std::map<std::string, StoreItem> items_;
   // Bytes of keys and values.
@@ -88,29 +88,29 @@
 
 // The effect of a received page.
 enum class PageStep {
-  kPassedOver,  // ignored: it doesn't follow the previous page
-  kGoesOn,      // accepted, and another one follows
-  kComplete,    // accepted as the last one
+  kIgnored,    // it doesn't follow the previous page
+  kMorePages,  // another one follows
+  kComplete,   // it was the last one
 };
 
 // Collects the pages of one answer.
-class FeedPageReader {
+class FeedPageAssembler {
  public:
   // The request for the next page, by a router that knows every change up to
   // `known`.
-  FeedNews Next(StoreRevision known) const;
-  PageStep Take(const FeedNews& page);
+  FeedUpdate Next(StoreRevision known) const;
+  PageStep AddPage(const FeedUpdate& page);
   // The complete answer, after kComplete: all changes, `since` and `revision`.
-  FeedNews Finish();
+  FeedUpdate Finish();
   // Some pages have been received, and more are to follow.
-  bool IsUnderWay() const { return partial_.has_value(); }
+  bool IsInProgress() const { return partial_.has_value(); }
   void Drop() { partial_.reset(); }
 
  private:
-  bool Follows(const FeedNews& page) const;
-  void DropIfOfEarlierEra(const FeedNews& page);
+  bool Follows(const FeedUpdate& page) const;
+  void DropIfOfEarlierEra(const FeedUpdate& page);
 
-  std::optional<FeedNews> partial_;
+  std::optional<FeedUpdate> partial_;
 };
 
 }  // namespace quaytrack
--- a/relay/grant_transfers.cc
+++ b/relay/grant_transfers.cc
@@ -25,8 +25,8 @@
   DemandOf(customer).Add(now, static_cast<double>(amount));
 }
 
-void GrantTransfers::AskPeers(Instant now, const CustomerName& customer,
-                              Tokens waiting, bool all) {
+void GrantTransfers::RequestFromPeers(Instant now, const CustomerName& customer,
+                                      Tokens waiting, bool all) {
   const double recent =
       DemandOf(customer).PerSecond(now) * ToSeconds(kDemandWindow);
   const Tokens spare =
@@ -34,14 +34,15 @@
   const Tokens available =
       std::max<Tokens>(0, ledger_.Allowance(now, customer));
   PeerMessage out;
-  out.kind = PeerMessageKind::kTransferWanted;
+  out.kind = PeerMessageKind::kTransferRequest;
   out.customer = customer;
   out.amount = waiting + spare - available;
   out.all = all;
   on_.broadcast(out);
 }
 
-void GrantTransfers::OnWanted(Instant now, const PeerMessage& message) {
+void GrantTransfers::OnTransferRequest(Instant now,
+                                       const PeerMessage& message) {
   ledger_.OnPeerSeen(message.from);
   const auto total = ledger_.TransferOut(now, message.customer, message.from,
                                          message.amount, message.all);
@@ -53,7 +54,7 @@
   LogEvent(Event::kMoveGiven, {{"customer", message.customer.value},
                                {"to", message.from.value},
                                {"total", std::to_string(*total)}});
-  on_.tell(message.from, out);
+  on_.send(message.from, out);
 }
 
 void GrantTransfers::OnTransfer(const PeerMessage& message) {
--- a/relay/grant_transfers.h
+++ b/relay/grant_transfers.h
@@ -2,10 +2,10 @@
 // transfers of rights between replicas (escrow: O'Neil 1986; bounded counters:
 // Balegas et al. 2015).
 //
-//   transfers.CountHold(now, customer, worst_case);    // each hold
-//   transfers.AskPeers(now, customer, waiting, all);   // too little here
-//   transfers.OnWanted(now, message);                  // a peer's request
-//   transfers.OnTransfer(message);                     // a peer's transfer
+//   transfers.CountHold(now, customer, worst_case);           // each hold
+//   transfers.RequestFromPeers(now, customer, waiting, all);  // too little
+//   transfers.OnTransferRequest(now, message);                // of a peer
+//   transfers.OnTransfer(message);                            // of a peer
 //
 // A transfer is sent as the running total of what one router has passed to the
 // other for one customer. A message that is lost, duplicated or late therefore
@@ -41,7 +41,7 @@
   struct Handlers {
     // Send a message to all linked peers, and to one of them.
     std::function<void(const PeerMessage&)> broadcast;
-    std::function<void(const Incarnation&, const PeerMessage&)> tell;
+    std::function<void(const Incarnation&, const PeerMessage&)> send;
   };
 
   GrantTransfers(PrepaidLedger& ledger, Handlers handlers)
@@ -52,9 +52,9 @@
 
   // Requests transfers. `waiting` is the sum that waits. If `all`, peers may
   // transfer everything that they don't use, otherwise half of it.
-  void AskPeers(Instant now, const CustomerName& customer, Tokens waiting,
-                bool all);
-  void OnWanted(Instant now, const PeerMessage& message);
+  void RequestFromPeers(Instant now, const CustomerName& customer,
+                        Tokens waiting, bool all);
+  void OnTransferRequest(Instant now, const PeerMessage& message);
   void OnTransfer(const PeerMessage& message);
 
  private:
--- a/relay/own_wait.h
+++ b/relay/own_wait.h
@@ -17,7 +17,7 @@
 
 namespace quaytrack {
 
-inline constexpr Duration kOwnWaitFirst = std::chrono::milliseconds(300);
+inline constexpr Duration kLocalWaitTime = std::chrono::milliseconds(300);
 
 }  // namespace quaytrack
 
--- a/relay/peer_mesh.cc
+++ b/relay/peer_mesh.cc
@@ -135,7 +135,7 @@
 
 void PeerMesh::CheckLinks() {
   CloseSilent();
-  BroadcastSignOfLife();
+  BroadcastHeartbeat();
   DialMissing();
 }
 
@@ -189,16 +189,16 @@
   return out;
 }
 
-void PeerMesh::BroadcastSignOfLife() {
+void PeerMesh::BroadcastHeartbeat() {
   Broadcast(Heartbeat(PeerMessageKind::kPing));
 }
 
 void PeerMesh::Broadcast(const PeerMessage& message) {
-  SendWhere([](const VmName&) { return true; }, message);
+  SendToMatching([](const VmName&) { return true; }, message);
 }
 
-void PeerMesh::SendWhere(const std::function<bool(const VmName&)>& matches,
-                         const PeerMessage& message) {
+void PeerMesh::SendToMatching(const std::function<bool(const VmName&)>& matches,
+                              const PeerMessage& message) {
   const std::string bytes = EncodePeerMessage(message);
   std::set<Incarnation> sent;
   for (const LinkPtr& it : links_) {
--- a/relay/peer_mesh.h
+++ b/relay/peer_mesh.h
@@ -56,7 +56,7 @@
   };
 
   // Interval between two checks of the links, each with a heartbeat. Together
-  // with kOwnWaitFirst (relay/own_wait.h) it bounds how soon a router that the
+  // with kLocalWaitTime (relay/own_wait.h) it bounds how soon a router that the
   // store doesn't serve learns of a configuration: the limit is 2 s.
   static constexpr Duration kCheckInterval = std::chrono::milliseconds(1000);
   // A random time to the first check: otherwise routers that start together
@@ -76,13 +76,13 @@
   void Broadcast(const PeerMessage& message);
   // Sends `message` to each linked peer on a VM for which `matches` is true,
   // once.
-  void SendWhere(const std::function<bool(const VmName&)>& matches,
-                 const PeerMessage& message);
+  void SendToMatching(const std::function<bool(const VmName&)>& matches,
+                      const PeerMessage& message);
   // Sends `message` to one peer, if it is linked.
   void SendTo(const Incarnation& peer, const PeerMessage& message);
   // Sends the state of this router to all peers, without waiting for the next
   // check.
-  void BroadcastSignOfLife();
+  void BroadcastHeartbeat();
   // The incarnation that is linked on a VM; empty if none is.
   Incarnation LinkedOn(const VmName& vm) const;
   // How many peers are linked.
--- a/relay/peer_messages.cc
+++ b/relay/peer_messages.cc
@@ -235,29 +235,30 @@
 
 // A change is sent as its key, its revision and, unless it is a removal, its
 // value.
-Json UpdateToJson(const FeedNews& news) {
+Json UpdateToJson(const FeedUpdate& update) {
   Json changes = Json::array();
-  for (const StoreChange& it : news.changes) {
+  for (const StoreChange& it : update.changes) {
     Json fields = {it.item.key, it.item.revision.number};
     if (!it.removed) fields.push_back(it.item.value);
     changes.push_back(std::move(fields));
   }
-  Json out = {{"feed", NameOf(news.feed)},        {"since", news.since.number},
-              {"revision", news.revision.number}, {"age", AgeToJson(news.age)},
-              {"notice", news.only_notice},       {"changes", changes}};
-  if (news.since.era != 0) out["since_era"] = news.since.era;
-  if (news.revision.era != 0) out["era"] = news.revision.era;
-  if (news.paged) out["paged"] = true;
-  if (!news.after.empty()) out["after"] = news.after;
-  if (news.more) out["more"] = true;
+  Json out = {
+      {"feed", NameOf(update.feed)},        {"since", update.since.number},
+      {"revision", update.revision.number}, {"age", AgeToJson(update.age)},
+      {"notice", update.only_notice},       {"changes", changes}};
+  if (update.since.era != 0) out["since_era"] = update.since.era;
+  if (update.revision.era != 0) out["era"] = update.revision.era;
+  if (update.paged) out["paged"] = true;
+  if (!update.after.empty()) out["after"] = update.after;
+  if (update.more) out["more"] = true;
   return out;
 }
 
 // std::nullopt for an unknown feed.
-std::optional<FeedNews> UpdateFromJson(const Json& json) {
+std::optional<FeedUpdate> UpdateFromJson(const Json& json) {
   const auto feed = FromName<FeedName>(json.at("feed").get<std::string>());
   if (!feed) return std::nullopt;
-  FeedNews out;
+  FeedUpdate out;
   out.feed = *feed;
   out.since = {json.value("since_era", std::int64_t{0}),
                json.at("since").get<std::int64_t>()};
@@ -281,8 +282,8 @@
 }
 
 bool CarriesUpdate(PeerMessageKind kind) {
-  return kind == PeerMessageKind::kNews || kind == PeerMessageKind::kState ||
-         kind == PeerMessageKind::kStateWanted;
+  return kind == PeerMessageKind::kUpdate || kind == PeerMessageKind::kState ||
+         kind == PeerMessageKind::kStateRequest;
 }
 
 // std::nullopt for an unknown kind or feed.
@@ -314,9 +315,9 @@
   out.rate_limits = RatesFromJson(json.value("rates", Json::object()));
   out.rollouts = RolloutsFromJson(json.value("rollouts", Json::object()));
   if (CarriesUpdate(*kind)) {
-    auto news = UpdateFromJson(json.at("news"));
-    if (!news) return std::nullopt;
-    out.news = std::move(*news);
+    auto update = UpdateFromJson(json.at("news"));
+    if (!update) return std::nullopt;
+    out.update = std::move(*update);
   }
   out.target = TargetName(json.value("target", ""));
   out.item_key = json.value("key", "");
@@ -366,7 +367,7 @@
   if (!message.rollouts.empty()) {
     json["rollouts"] = RolloutsToJson(message.rollouts);
   }
-  if (CarriesUpdate(message.kind)) json["news"] = UpdateToJson(message.news);
+  if (CarriesUpdate(message.kind)) json["news"] = UpdateToJson(message.update);
   if (message.kind == PeerMessageKind::kPromptSent) {
     json["target"] = message.target.value;
   }
--- a/relay/peer_messages.h
+++ b/relay/peer_messages.h
@@ -34,23 +34,23 @@
 namespace quaytrack {
 
 enum class PeerMessageKind {
-  kHello,           // identifies the sender
-  kPing,            // a heartbeat, with the version in force
-  kTransferWanted,  // requests a transfer of unused grant of a customer's
-                    // budget
-  kTransfer,        // running total of what the sender has transferred
-  kHoldWanted,      // requests a hold on a customer's budget for a request
-  kHoldAnswer,      // the answer to a hold request
-  kSettle,          // the cost of a request that was held
-  kSettled,         // acknowledges a kSettle
-  kPromptSent,      // a prompt was sent that keeps its engine busy
-  kConfigWanted,    // requests the configuration
-  kConfig,          // the configuration, as the store has it
-  kNews,            // changes that a reader has received from the store
-  kStateWanted,     // requests the changes of a feed, or all of its items
-  kState,           // a page of the answer
-  kCrashes,         // crashes of targets that the sender observed
-  kRateLimits,      // rate limits that targets have announced
+  kHello,            // identifies the sender
+  kPing,             // a heartbeat, with the version in force
+  kTransferRequest,  // requests a transfer of unused grant of a customer's
+                     // budget
+  kTransfer,         // running total of what the sender has transferred
+  kHoldWanted,       // requests a hold on a customer's budget for a request
+  kHoldAnswer,       // the answer to a hold request
+  kSettle,           // the cost of a request that was held
+  kSettled,          // acknowledges a kSettle
+  kPromptSent,       // a prompt was sent that keeps its engine busy
+  kConfigRequest,    // requests the configuration
+  kConfig,           // the configuration, as the store has it
+  kUpdate,           // changes that a reader has received from the store
+  kStateRequest,     // requests the changes of a feed, or all of its items
+  kState,            // a page of the answer
+  kCrashes,          // crashes of targets that the sender observed
+  kRateLimits,       // rate limits that targets have announced
 };
 
 template <>
@@ -58,17 +58,17 @@
   static constexpr auto kEntries = std::to_array<EnumEntry<PeerMessageKind>>(
       {{PeerMessageKind::kHello, "hello"},
        {PeerMessageKind::kPing, "ping"},
-       {PeerMessageKind::kTransferWanted, "ask"},
+       {PeerMessageKind::kTransferRequest, "ask"},
        {PeerMessageKind::kTransfer, "move"},
        {PeerMessageKind::kHoldWanted, "hold"},
        {PeerMessageKind::kHoldAnswer, "hold_answer"},
        {PeerMessageKind::kSettle, "settle"},
        {PeerMessageKind::kSettled, "settled"},
        {PeerMessageKind::kPromptSent, "sent"},
-       {PeerMessageKind::kConfigWanted, "config_wanted"},
+       {PeerMessageKind::kConfigRequest, "config_wanted"},
        {PeerMessageKind::kConfig, "config"},
-       {PeerMessageKind::kNews, "news"},
-       {PeerMessageKind::kStateWanted, "state_wanted"},
+       {PeerMessageKind::kUpdate, "news"},
+       {PeerMessageKind::kStateRequest, "state_wanted"},
        {PeerMessageKind::kState, "state"},
        {PeerMessageKind::kCrashes, "crashes"},
        {PeerMessageKind::kRateLimits, "rate_limits"}});
@@ -94,12 +94,12 @@
 struct PeerMessage {
   PeerMessageKind kind = PeerMessageKind::kPing;
   Incarnation from;
-  // kTransferWanted, kTransfer, kHoldWanted.
+  // kTransferRequest, kTransfer, kHoldWanted.
   CustomerName customer;
   // The same kinds: the amount requested, the running total, the worst case.
   // kSettle: the cost. kPromptSent: the tokens to be prefilled.
   Tokens amount = 0;
-  // kTransferWanted: the peer may transfer all its unused grant; otherwise it
+  // kTransferRequest: the peer may transfer all its unused grant; otherwise it
   // keeps half.
   bool all = false;
   // kHoldWanted, kHoldAnswer, kSettle, kSettled.
@@ -136,8 +136,8 @@
   // kHello, kPing: the sender's reports on services that move to another
   // version.
   std::map<ServiceName, RolloutReport> rollouts;
-  // kNews, kState; kStateWanted has no changes.
-  FeedNews news;
+  // kUpdate, kState; kStateRequest has no changes.
+  FeedUpdate update;
   // kPromptSent: the engine.
   TargetName target;
   // kConfig, kCrashes: key and value of the store's item; for kCrashes the
--- a/relay/prepaid_store.cc
+++ b/relay/prepaid_store.cc
@@ -110,7 +110,7 @@
   pacer_.OnWork(started, clock_.Now());
 }
 
-void PrepaidStore::RunCycleSoon() {
+void PrepaidStore::ScheduleCycle() {
   std::uniform_int_distribution<int> jitter(0, max_jitter_ms_);
   delayed_cycle_timer_ =
       loop_.After(milliseconds(jitter(random_)), [this] { RunCycle(); });
@@ -163,7 +163,7 @@
   ledger_.OnRead(clock_.Now(), read_);
   on_.ledger_changed();
   pacer_.OnWork(started, clock_.Now());
-  RunCycleSoon();
+  ScheduleCycle();
 }
 
 // Fills in the record of `read_`, taking the one of the latest era; false if a
@@ -258,7 +258,7 @@
     ledger_.OnNewerRecord(clock_.Now(), read_.revision, read_.record);
   }
   pacer_.OnWork(started, clock_.Now());
-  RunCycleSoon();
+  ScheduleCycle();
   max_jitter_ms_ = std::min(max_jitter_ms_ * 2, kMaxRetryJitterMs);
 }
 
--- a/relay/prepaid_store.h
+++ b/relay/prepaid_store.h
@@ -3,7 +3,7 @@
 //   PrepaidStore store(loop, clock, kv, self, ledger, handlers);
 //   store.Start();          // runs the cycle every `kCycleInterval`
 //   store.RunCycle();       // something is due now
-//   store.RunCycleSoon();   // the same, a few milliseconds later
+//   store.ScheduleCycle();   // the same, a few milliseconds later
 //
 // One cycle does what the ledger says is due: it reads the store's values, or
 // writes this router's spend account, together with the record if that has to
@@ -59,9 +59,9 @@
 
   void Start();
   void RunCycle();
-  void RunCycleSoon();
+  void ScheduleCycle();
   // The store has come back in a later era.
-  void OnStoreEra() { RunCycleSoon(); }
+  void OnStoreEra() { ScheduleCycle(); }
   bool reachable() const { return reachable_; }
 
  private:
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -185,7 +185,7 @@
 BudgetDriver::Handlers RelayRouter::BudgetHandlers() {
   BudgetDriver::Handlers out;
   out.broadcast = [this](const PeerMessage& it) { peers_.Broadcast(it); };
-  out.tell = [this](const Incarnation& peer, const PeerMessage& it) {
+  out.send = [this](const Incarnation& peer, const PeerMessage& it) {
     peers_.SendTo(peer, it);
   };
   out.linked = [this](const VmName& vm) { return peers_.LinkedOn(vm); };
@@ -201,9 +201,9 @@
   out.send = [this](const Incarnation& peer, PeerMessage it) {
     SendTo(peer, std::move(it));
   };
-  out.tell = [this](PeerMessage it) {
+  out.publish = [this](PeerMessage it) {
     it.from = self_;
-    peers_.SendWhere(
+    peers_.SendToMatching(
         [this](const VmName& vm) { return fleet_.directory().IsTold(vm); }, it);
   };
   out.is_reader = [this](const Incarnation& peer) {
@@ -211,7 +211,7 @@
   };
   out.readers = [this] { return LinkedReaders(); };
   out.store_answered = [this](const StateFeed& it) {
-    TellOthersOfAnswer(Feeds(), it);
+    NotifyOtherFeeds(Feeds(), it);
   };
   return out;
 }
@@ -289,7 +289,7 @@
     const FleetDirectory& directory = fleet_.directory();
     return directory.IsSmall() || directory.IsReader(VmOf(peer));
   };
-  out.tell = [this] { peers_.BroadcastSignOfLife(); };
+  out.broadcast_heartbeat = [this] { peers_.BroadcastHeartbeat(); };
   return out;
 }
 
@@ -353,8 +353,8 @@
 // Called by every client of the store: the followers and the budgets.
 void RelayRouter::OnStoreReachable(bool reachable) {
   if (reachable) {
-    configs_.AskStoreAgain();
-    crashes_.feed().AskAgain();
+    configs_.RestartStoreWait();
+    crashes_.feed().RestartWait();
   }
   targets_.OnStoreReachable(reachable);
 }
@@ -367,7 +367,7 @@
   rollouts_.OnStoreEra();
   fleet_.OnStoreEra();
   budgets_.OnStoreEra();
-  peers_.BroadcastSignOfLife();
+  peers_.BroadcastHeartbeat();
 }
 
 void RelayRouter::OnFleetChanged() {
@@ -379,7 +379,7 @@
   placement_.SetPlaces([this](const TargetStart& it) {
     return fleet_.directory().PlaceFor(it.value);
   });
-  budgets_.TakePartIfHolder();
+  budgets_.JoinIfHolder();
 }
 
 // Takes effect from the first read of the list: a superfluous reader costs some
@@ -398,7 +398,7 @@
   caller_server_.SetLimits(CallerLimitsFrom(map->limits()));
   budgets_.SetConfig(*map);
   placement_.SetColdRules(ColdRulesFrom(*map));
-  peers_.BroadcastSignOfLife();
+  peers_.BroadcastHeartbeat();
   if (announced_ready_) return;
   announced_ready_ = true;
   LogEvent(Event::kReady, {{"config", std::to_string(map->version())}});
@@ -426,14 +426,14 @@
 // Peers may have no other way to learn of it while the store is away.
 void RelayRouter::OnTargetLeaving(const TargetEntry& target) {
   placement_.OnSaysLeaving(clock_.Now(), target);
-  if (targets_.OnSaysLeaving(target)) peers_.BroadcastSignOfLife();
+  if (targets_.OnLeavingNotice(target)) peers_.BroadcastHeartbeat();
 }
 
 // The answer to a read shows the era to all parts that need it.
 void RelayRouter::CheckStoreEra(const PeerMessage& message) {
   if (message.store_era <= std::max(store_.era(), peer_era_)) return;
   peer_era_ = message.store_era;
-  configs_.feed().AskFor({message.store_era, 0});
+  configs_.feed().ReadUpTo({message.store_era, 0});
 }
 
 void RelayRouter::ApplyRateLimits(const PeerMessage& message) {
--- a/relay/rollout_driver.cc
+++ b/relay/rollout_driver.cc
@@ -194,7 +194,7 @@
             {"of", std::to_string(worst.answers)},
             {"usual", std::to_string(worst.usual)},
             {"sum", std::to_string(worst.sum)}});
-  if (scene.decides) on_.tell();
+  if (scene.decides) on_.broadcast_heartbeat();
 }
 
 // --- The status in the store -------------------------------------------------
--- a/relay/rollout_driver.h
+++ b/relay/rollout_driver.h
@@ -70,7 +70,7 @@
         running_elsewhere;
     std::function<bool(const Incarnation&)> is_decider;
     // Sends a heartbeat to the peers at once.
-    std::function<void()> tell;
+    std::function<void()> broadcast_heartbeat;
   };
 
   RolloutDriver(const Context& context, const SharedStateReader& reader,
--- a/relay/state_feed.cc
+++ b/relay/state_feed.cc
@@ -109,7 +109,7 @@
   start_timer_ = context_.loop.After(within, [this, within] {
     start_timer_.reset();
     if (state() != FeedState::kReading) return;
-    if (pages_.IsUnderWay()) return WaitForReaders(within);
+    if (pages_.IsInProgress()) return WaitForReaders(within);
     follower_.Resume();
   });
 }
@@ -182,7 +182,7 @@
 }
 
 void StateFeed::Check() {
-  if (state() == FeedState::kTold && Age() > fresh_for_) {
+  if (state() == FeedState::kNotified && Age() > fresh_for_) {
     Apply(FeedEvent::kStale);
   }
 }
@@ -206,7 +206,7 @@
     case FeedAction::kStopCalling:
       start_timer_.reset();
       return follower_.Pause();
-    case FeedAction::kCallAgain:
+    case FeedAction::kResumeCalls:
       SetLost(true);
       follower_.SetRetry(kFirstRetry, kMaxRetry);
       return follower_.Resume();
@@ -231,32 +231,34 @@
   if (mark != message.marks.end() && links_.is_reader(message.from)) {
     OnMark(mark->second);
   }
-  if (message.news.feed != options_.name) return;
+  if (message.update.feed != options_.name) return;
   switch (message.kind) {
-    case PeerMessageKind::kNews:
-      if (IsValid(message)) OnUpdate(message.news);
+    case PeerMessageKind::kUpdate:
+      if (IsValid(message)) OnUpdate(message.update);
       return;
     case PeerMessageKind::kState:
-      if (IsValid(message)) OnState(message.news);
+      if (IsValid(message)) OnState(message.update);
       return;
-    case PeerMessageKind::kStateWanted:
-      return SendState(message.from, message.news);
+    case PeerMessageKind::kStateRequest:
+      return SendState(message.from, message.update);
     default:
       return;
   }
 }
 
 bool StateFeed::IsValid(const PeerMessage& message) const {
-  const FeedNews& news = message.news;
+  const FeedUpdate& update = message.update;
   const auto in_span = [&](const StoreChange& it) {
-    return it.item.revision <= news.revision;
+    return it.item.revision <= update.revision;
   };
   const char* problem = nullptr;
   if (!links_.is_reader(message.from)) {
     problem = "not from a reader";
-  } else if (news.since < StoreRevision() || news.since >= news.revision) {
+  } else if (update.since < StoreRevision() ||
+             update.since >= update.revision) {
     problem = "revisions out of order";
-  } else if (!std::all_of(news.changes.begin(), news.changes.end(), in_span)) {
+  } else if (!std::all_of(update.changes.begin(), update.changes.end(),
+                          in_span)) {
     problem = "a change after the update's revision";
   }
   if (problem == nullptr) return true;
@@ -276,43 +278,43 @@
   MarkCurrentByReader(mark.age);
 }
 
-void StateFeed::OnUpdate(const FeedNews& news) {
-  if (news.revision <= Known()) return OnMark({news.revision, news.age});
+void StateFeed::OnUpdate(const FeedUpdate& update) {
+  if (update.revision <= Known()) return OnMark({update.revision, update.age});
   // The read in progress shows all of these changes.
   if (IsReader() && !has_items_) return;
   const bool leads_on =
-      news.since <= Known() && news.since.era == news.revision.era;
-  if (news.only_notice || !leads_on) return OnBehind(news.revision);
+      update.since <= Known() && update.since.era == update.revision.era;
+  if (update.only_notice || !leads_on) return OnBehind(update.revision);
   // The end of an outage is reported before the removals made during it.
-  MarkCurrent(news.age + kTransitTime);
-  ApplyChanges(news);
-  MarkCurrentByReader(news.age);
+  MarkCurrent(update.age + kTransitTime);
+  ApplyChanges(update);
+  MarkCurrentByReader(update.age);
 }
 
 // Two readers may batch the same changes differently, so some may be known.
-void StateFeed::ApplyChanges(const FeedNews& news) {
+void StateFeed::ApplyChanges(const FeedUpdate& update) {
   const StoreRevision known = Known();
-  StoreRevision latest(news.revision.era, 0);
-  for (const StoreChange& it : news.changes) {
+  StoreRevision latest(update.revision.era, 0);
+  for (const StoreChange& it : update.changes) {
     if (it.item.revision <= known) continue;
     latest = std::max(latest, it.item.revision);
     OnChange(it);
   }
-  follower_.SkipTo(news.revision, latest);
+  follower_.SkipTo(update.revision, latest);
   Settle();
 }
 
-void StateFeed::OnState(const FeedNews& news) {
-  if (news.revision <= Known()) return;
+void StateFeed::OnState(const FeedUpdate& update) {
+  if (update.revision <= Known()) return;
   const bool leads_on =
-      news.since == StoreRevision() ||
-      (news.since <= Known() && news.since.era == news.revision.era);
+      update.since == StoreRevision() ||
+      (update.since <= Known() && update.since.era == update.revision.era);
   if (!leads_on) return;
-  const Instant shown_at = context_.clock.Now() - news.age;
-  const bool begins = news.after.empty();
+  const Instant shown_at = context_.clock.Now() - update.age;
+  const bool begins = update.after.empty();
   pages_shown_at_ = begins ? shown_at : std::min(pages_shown_at_, shown_at);
-  const PageStep step = pages_.Take(news);
-  if (step == PageStep::kPassedOver) return;
+  const PageStep step = pages_.AddPage(update);
+  if (step == PageStep::kIgnored) return;
   request_timeout_ = kFirstRequestTimeout;
   if (step == PageStep::kComplete) ApplyState(pages_.Finish());
   request_timer_.reset();
@@ -320,24 +322,24 @@
   RequestState();
 }
 
-void StateFeed::ApplyState(FeedNews news) {
-  if (news.revision <= Known()) return;
-  news.age = context_.clock.Now() - pages_shown_at_;
-  MarkCurrent(news.age + kTransitTime);
-  if (news.since != StoreRevision()) {
-    ApplyChanges(news);
-    return MarkCurrentByReader(news.age);
+void StateFeed::ApplyState(FeedUpdate update) {
+  if (update.revision <= Known()) return;
+  update.age = context_.clock.Now() - pages_shown_at_;
+  MarkCurrent(update.age + kTransitTime);
+  if (update.since != StoreRevision()) {
+    ApplyChanges(update);
+    return MarkCurrentByReader(update.age);
   }
   std::vector<StoreItem> items;
-  StoreRevision latest(news.revision.era, 0);
-  for (const StoreChange& it : news.changes) {
+  StoreRevision latest(update.revision.era, 0);
+  for (const StoreChange& it : update.changes) {
     items.push_back(it.item);
     latest = std::max(latest, it.item.revision);
   }
-  follower_.SkipTo(news.revision, latest);
+  follower_.SkipTo(update.revision, latest);
   OnItems(items);
   Settle();
-  MarkCurrentByReader(news.age);
+  MarkCurrentByReader(update.age);
 }
 
 // Every change made up to `age` ago is known here, or is about to be passed to
@@ -351,7 +353,7 @@
 // own.
 void StateFeed::MarkCurrentByReader(Duration age) {
   MarkCurrent(age + kTransitTime);
-  if (age <= kMaxHeartbeatAge && HasState()) Apply(FeedEvent::kToldFresh);
+  if (age <= kMaxHeartbeatAge && HasState()) Apply(FeedEvent::kReaderCurrent);
 }
 
 std::optional<FeedMark> StateFeed::Mark() const {
@@ -370,15 +372,15 @@
   const std::vector<StoreChange> changes = std::exchange(pending_, {});
   if (changes.empty() || !IsReader()) return;
   PeerMessage out;
-  out.kind = PeerMessageKind::kNews;
-  out.news.feed = options_.name;
-  out.news.since = announced_revision_;
-  out.news.revision = Known();
-  out.news.age = Age();
+  out.kind = PeerMessageKind::kUpdate;
+  out.update.feed = options_.name;
+  out.update.since = announced_revision_;
+  out.update.revision = Known();
+  out.update.age = Age();
   const bool leads_on = announced_revision_.era == Known().era;
-  out.news.only_notice = !leads_on || ShouldOnlyAnnounce(BytesOf(changes));
-  if (!out.news.only_notice) out.news.changes = changes;
-  links_.tell(std::move(out));
+  out.update.only_notice = !leads_on || ShouldOnlyAnnounce(BytesOf(changes));
+  if (!out.update.only_notice) out.update.changes = changes;
+  links_.publish(std::move(out));
 }
 
 bool StateFeed::ShouldOnlyAnnounce(std::size_t bytes) const {
@@ -387,7 +389,7 @@
          bytes > items_.bytes() / kMinItemsToChangesRatio;
 }
 
-void StateFeed::SendState(const Incarnation& peer, const FeedNews& wanted) {
+void StateFeed::SendState(const Incarnation& peer, const FeedUpdate& wanted) {
   if (!IsReader() || !has_items_) return;
   // An item of a list that was read in pages may be of a later change than
   // `Known`; the next wait reports that change at once.
@@ -396,9 +398,9 @@
   if (!page) return;
   PeerMessage out;
   out.kind = PeerMessageKind::kState;
-  out.news = std::move(*page);
-  out.news.feed = options_.name;
-  out.news.age = Age();
+  out.update = std::move(*page);
+  out.update.feed = options_.name;
+  out.update.age = Age();
   links_.send(peer, std::move(out));
 }
 
@@ -408,11 +410,11 @@
   peer_revision_ = std::max(peer_revision_, revision);
   if (request_timer_) return;
   request_timeout_ = kFirstRequestTimeout;
-  if (state() == FeedState::kTold || start_timer_) return RequestState();
-  request_timer_ = context_.loop.After(kOwnWaitFirst, [this] {
+  if (state() == FeedState::kNotified || start_timer_) return RequestState();
+  request_timer_ = context_.loop.After(kLocalWaitTime, [this] {
     request_timer_.reset();
     if (HasRead(peer_revision_)) return;
-    AskFor(peer_revision_);
+    ReadUpTo(peer_revision_);
     RequestState();
   });
 }
@@ -421,9 +423,9 @@
   const std::vector<Incarnation> readers = links_.readers();
   if (readers.empty()) return;
   PeerMessage out;
-  out.kind = PeerMessageKind::kStateWanted;
-  out.news = pages_.Next(Known());
-  out.news.feed = options_.name;
+  out.kind = PeerMessageKind::kStateRequest;
+  out.update = pages_.Next(Known());
+  out.update.feed = options_.name;
   links_.send(readers[reader_index_ % readers.size()], std::move(out));
   request_timer_ = context_.loop.After(request_timeout_, [this] {
     request_timer_.reset();
@@ -438,15 +440,15 @@
   RequestState();
 }
 
-void StateFeed::AskAgain() {
-  if (state() != FeedState::kTold) follower_.AskAgain();
+void StateFeed::RestartWait() {
+  if (state() != FeedState::kNotified) follower_.AskAgain();
 }
 
 // The store may hold a wait that starts at a revision of an earlier era even
 // though much has changed.
-void StateFeed::AskFor(StoreRevision revision) {
-  if (revision.era == Known().era) return AskAgain();
-  if (state() != FeedState::kTold) follower_.ReadAgain();
+void StateFeed::ReadUpTo(StoreRevision revision) {
+  if (revision.era == Known().era) return RestartWait();
+  if (state() != FeedState::kNotified) follower_.ReadAgain();
 }
 
 }  // namespace quaytrack
--- a/relay/state_feed.h
+++ b/relay/state_feed.h
@@ -90,12 +90,12 @@
   std::function<void(const Incarnation&, PeerMessage)> send;
   // Sends a message to every router that relies on this reader: those of its
   // hall and the other readers.
-  std::function<void(PeerMessage)> tell;
+  std::function<void(PeerMessage)> publish;
   // Whether the peer is a reader, by this router's list of routers.
   std::function<bool(const Incarnation&)> is_reader;
   // The linked readers, in the order in which this router sends them requests.
   std::function<std::vector<Incarnation>()> readers;
-  // The store has answered a call of `feed`; see `TellOthersOfAnswer`.
+  // The store has answered a call of `feed`; see `NotifyOtherFeeds`.
   std::function<void(const StateFeed& feed)> store_answered =
       [](const StateFeed&) {};
 };
@@ -118,7 +118,8 @@
 
   // How long a starting router waits for a reader's items. Links are open some
   // hundred milliseconds after the list of routers was read.
-  static constexpr Duration kToldWithin = std::chrono::milliseconds(3000);
+  static constexpr Duration kDefaultReaderTimeout =
+      std::chrono::milliseconds(3000);
 
   struct Options {
     FeedName name = FeedName::kConfig;
@@ -138,7 +139,7 @@
   void Start() { follower_.Start(); }
   // The same in a fleet that has readers: requests all items from a reader, and
   // reads the store only if no reader has started to send them within `within`.
-  void StartFromReaders(Duration within = kToldWithin);
+  void StartFromReaders(Duration within = kDefaultReaderTimeout);
   // Sets whether this router is one of the fleet's `readers` readers.
   void SetRole(bool is_reader, std::size_t readers);
   void OnPeer(const PeerMessage& message);
@@ -149,9 +150,9 @@
   // Detects that this router wasn't shown to be current for too long.
   void Check();
   // The open wait may be lost; starts it again.
-  void AskAgain();
+  void RestartWait();
   // Reads up to this revision, which a peer knows and this router doesn't.
-  void AskFor(StoreRevision revision);
+  void ReadUpTo(StoreRevision revision);
 
   // The mark for a reader's heartbeat; std::nullopt at other routers.
   std::optional<FeedMark> Mark() const;
@@ -193,10 +194,10 @@
 
   bool IsValid(const PeerMessage& message) const;
   void OnMark(const FeedMark& mark);
-  void OnUpdate(const FeedNews& news);
-  void OnState(const FeedNews& news);
-  void ApplyState(FeedNews news);
-  void ApplyChanges(const FeedNews& news);
+  void OnUpdate(const FeedUpdate& update);
+  void OnState(const FeedUpdate& update);
+  void ApplyState(FeedUpdate update);
+  void ApplyChanges(const FeedUpdate& update);
   void OnAnswered();
   Duration NextWaitTimeout();
   void MarkCurrent(Duration age);
@@ -207,7 +208,7 @@
   void SendPending();
   // Whether changes of this size are only announced, and sent on request.
   bool ShouldOnlyAnnounce(std::size_t bytes) const;
-  void SendState(const Incarnation& peer, const FeedNews& wanted);
+  void SendState(const Incarnation& peer, const FeedUpdate& wanted);
 
   // Routers that are behind.
   void OnBehind(StoreRevision revision);
@@ -235,7 +236,7 @@
 
   // At a reader, whether `items_` holds all items.
   bool has_items_ = false;
-  FeedItemBook items_;
+  FeedItemTable items_;
   // Changes after `announced_revision_`, not yet sent to the hall.
   std::vector<StoreChange> pending_;
   StoreRevision announced_revision_;
@@ -244,7 +245,7 @@
   StoreRevision peer_revision_;
   // The pages received so far of an answer, and the lowest time at which they
   // were current.
-  FeedPageReader pages_;
+  FeedPageAssembler pages_;
   Instant pages_shown_at_{};
   // Runs until a reader has sent all items at the start, or the store is read.
   std::unique_ptr<Timer> start_timer_;
@@ -258,8 +259,8 @@
 // Notifies the other feeds of a process that the store has answered `feed`:
 // they are current, and needn't call as often. `feed` itself isn't notified, as
 // its own calls say nothing of how often other calls are answered.
-inline void TellOthersOfAnswer(std::span<StateFeed* const> feeds,
-                               const StateFeed& feed) {
+inline void NotifyOtherFeeds(std::span<StateFeed* const> feeds,
+                             const StateFeed& feed) {
   for (StateFeed* it : feeds) {
     if (it != &feed) it->OnStoreAnswered();
   }
--- a/relay/target_follower.cc
+++ b/relay/target_follower.cc
@@ -181,7 +181,7 @@
   }
 }
 
-bool TargetFollower::OnSaysLeaving(const TargetEntry& target) {
+bool TargetFollower::OnLeavingNotice(const TargetEntry& target) {
   return MarkLeaving(target.name, target.started_at, "answer");
 }
 
@@ -195,9 +195,9 @@
 
 void TargetFollower::OnPeerRevision(StoreRevision revision) {
   if (behind_timer_ || feed_.HasRead(revision)) return;
-  behind_timer_ = loop_.After(kOwnWaitFirst, [this, revision] {
+  behind_timer_ = loop_.After(kLocalWaitTime, [this, revision] {
     behind_timer_.reset();
-    if (!feed_.HasRead(revision)) feed_.AskFor(revision);
+    if (!feed_.HasRead(revision)) feed_.ReadUpTo(revision);
   });
 }
 
@@ -210,7 +210,7 @@
     return;
   }
   // A wait that was open during the outage may never be answered.
-  feed_.AskAgain();
+  feed_.RestartWait();
   StopKeepingLater();
 }
 
--- a/relay/target_follower.h
+++ b/relay/target_follower.h
@@ -92,7 +92,7 @@
   void OnPeer(const PeerMessage& message);
   // The target has announced in an answer that it leaves. Returns whether that
   // is new.
-  bool OnSaysLeaving(const TargetEntry& target);
+  bool OnLeavingNotice(const TargetEntry& target);
   // A client of the store has lost it (false) or has it back (true).
   void OnStoreReachable(bool reachable);
 
--- a/relay/testing/budgets_test.cc
+++ b/relay/testing/budgets_test.cc
@@ -173,7 +173,7 @@
     on.broadcast = [this](const PeerMessage& it) {
       broadcasts.push_back({{}, it});
     };
-    on.tell = [this](const Incarnation& to, const PeerMessage& it) {
+    on.send = [this](const Incarnation& to, const PeerMessage& it) {
       unicasts.push_back({to, it});
     };
     on.linked = [this](const VmName& vm) {
@@ -198,7 +198,7 @@
   void Join() {
     Configure();
     budgets.Start();
-    budgets.TakePartIfHolder();
+    budgets.JoinIfHolder();
     BOOST_REQUIRE(RunUntil([&] { return Allowance() > 0; }));
   }
 
@@ -409,7 +409,7 @@
   RunSome();
   BOOST_REQUIRE(broadcasts.size() == 2U);
   for (const Sent& sent : broadcasts) {
-    BOOST_TEST((sent.message.kind == PeerMessageKind::kTransferWanted));
+    BOOST_TEST((sent.message.kind == PeerMessageKind::kTransferRequest));
     BOOST_TEST(sent.message.from.value == kSelf.value);
     BOOST_TEST(sent.message.customer.value == kCustomer.value);
   }
@@ -556,7 +556,7 @@
   store.Put(kRecordKey, "not a record");
   Configure();
   budgets.Start();
-  budgets.TakePartIfHolder();
+  budgets.JoinIfHolder();
   RunSome();
   BOOST_TEST(store.reads > 0U);
   BOOST_TEST(store.writes == 0U);
@@ -614,7 +614,7 @@
 BOOST_FIXTURE_TEST_CASE(AnAskIsGivenOnceAndTakenOff, Fixture) {
   JoinAndStopClock();
   const Tokens before = Allowance();
-  PeerMessage from_peer = Message(PeerMessageKind::kTransferWanted, 1000);
+  PeerMessage from_peer = Message(PeerMessageKind::kTransferRequest, 1000);
   from_peer.all = true;
   budgets.OnPeer(from_peer);
   const auto transfers = UnicastsOf(PeerMessageKind::kTransfer);
@@ -632,7 +632,7 @@
 BOOST_FIXTURE_TEST_CASE(AnAskForSomeLeavesHalf, Fixture) {
   JoinAndStopClock();
   const Tokens before = Allowance();
-  budgets.OnPeer(Message(PeerMessageKind::kTransferWanted, kLimit));
+  budgets.OnPeer(Message(PeerMessageKind::kTransferRequest, kLimit));
   const auto transfers = UnicastsOf(PeerMessageKind::kTransfer);
   BOOST_REQUIRE(transfers.size() == 1U);
   BOOST_TEST(transfers[0].message.amount == before / 2);
@@ -767,7 +767,7 @@
                         EarlyFixture) {
   const WaiterPtr it = Make("r", 1000);
   BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
-  budgets.TakePartIfHolder();
+  budgets.JoinIfHolder();
   RunSome();
   BOOST_TEST(!budgets.ledger().KeepsGrants());
   BOOST_TEST(store.writes == 0U);
--- a/relay/testing/config_follower_test.cc
+++ b/relay/testing/config_follower_test.cc
@@ -116,7 +116,7 @@
   BOOST_TEST(sent.empty());
   RunFor(loop, kRequestSentBy);
   BOOST_REQUIRE(sent.size() == 1U);
-  BOOST_TEST((sent[0].kind == PeerMessageKind::kConfigWanted));
+  BOOST_TEST((sent[0].kind == PeerMessageKind::kConfigRequest));
   // The peer may not answer, or the request may be lost.
   PeerHasVersion(6);
   RunFor(loop, kRequestSentBy);
@@ -181,7 +181,7 @@
   follower.OnPeer(heartbeat);
   BOOST_TEST(IsClosed("b"));
   PeerMessage request;
-  request.kind = PeerMessageKind::kConfigWanted;
+  request.kind = PeerMessageKind::kConfigRequest;
   request.from = kPeer;
   follower.OnPeer(request);
   BOOST_REQUIRE(sent.size() == 1U);
@@ -193,7 +193,7 @@
 
 BOOST_FIXTURE_TEST_CASE(APeerThatAsksIsSentWhatIsInForce, Fixture) {
   PeerMessage request;
-  request.kind = PeerMessageKind::kConfigWanted;
+  request.kind = PeerMessageKind::kConfigRequest;
   request.from = kPeer;
   follower.OnPeer(request);
   BOOST_TEST(sent.empty());
--- a/relay/testing/feed_era_property_test.cc
+++ b/relay/testing/feed_era_property_test.cc
@@ -46,7 +46,7 @@
       fleet_.clock.now += milliseconds(900);
       Change();
       for (auto& it : fleet_.nodes) {
-        it->feed.AskAgain();
+        it->feed.RestartWait();
         it->feed.Check();
       }
       fleet_.Propagate();
--- a/relay/testing/feed_fleet.h
+++ b/relay/testing/feed_fleet.h
@@ -288,7 +288,7 @@
     FeedNode* node = Find(it.to);
     if (node == nullptr) return;
     std::size_t bytes = 0;
-    for (const StoreChange& change : it.message.news.changes) {
+    for (const StoreChange& change : it.message.update.changes) {
       bytes += change.item.key.size() + change.item.value.size();
     }
     node->received += bytes;
@@ -369,7 +369,7 @@
     it.from = self;
     fleet.sent.push_back({to, it});
   };
-  out.tell = [this](PeerMessage it) {
+  out.publish = [this](PeerMessage it) {
     it.from = self;
     for (auto& node : fleet.nodes) {
       const bool is_recipient = node->hall == hall || node->is_reader;
--- a/relay/testing/feed_property_test.cc
+++ b/relay/testing/feed_property_test.cc
@@ -78,32 +78,32 @@
     PeerMessage out;
     out.kind = kind;
     out.from = fleet_.nodes[static_cast<std::size_t>(reader) + 1]->self;
-    out.news.feed = FeedName::kTargets;
+    out.update.feed = FeedName::kTargets;
     return out;
   }
   // The reader's next changes, which may be many at once.
   PeerMessage Batch(int reader) {
     std::int64_t& at = read_[static_cast<std::size_t>(reader)];
-    PeerMessage out = From(reader, PeerMessageKind::kNews);
-    out.news.since = at;
+    PeerMessage out = From(reader, PeerMessageKind::kUpdate);
+    out.update.since = at;
     at = std::min<std::int64_t>(at + 1 + Draw(4), fleet_.store.revision());
-    out.news.revision = at;
-    out.news.changes = fleet_.store.Changes(out.news.since.number, at);
+    out.update.revision = at;
+    out.update.changes = fleet_.store.Changes(out.update.since.number, at);
     return out;
   }
   PeerMessage FullState(int reader) {
     PeerMessage out = From(reader, PeerMessageKind::kState);
-    out.news.revision = fleet_.store.revision();
+    out.update.revision = fleet_.store.revision();
     for (const StoreItem& it :
-         fleet_.store.SnapshotAt(out.news.revision.number)) {
-      out.news.changes.push_back({it, false});
+         fleet_.store.SnapshotAt(out.update.revision.number)) {
+      out.update.changes.push_back({it, false});
     }
     return out;
   }
   PeerMessage Notice(int reader) {
     PeerMessage out = Batch(reader);
-    out.news.only_notice = true;
-    out.news.changes.clear();
+    out.update.only_notice = true;
+    out.update.changes.clear();
     return out;
   }
 
@@ -198,7 +198,7 @@
     }
     const FeedItems now = fleet_.store.ItemsAt(fleet_.store.revision());
     for (auto& it : fleet_.nodes) BOOST_TEST((it->items == now));
-    BOOST_TEST(fleet_.largest <= FeedItemBook::kPageBytes * 2);
+    BOOST_TEST(fleet_.largest <= FeedItemTable::kPageBytes * 2);
   }
 
  private:
@@ -319,7 +319,7 @@
   const StartCost large = CostOfStart(295);
   BOOST_TEST(large.calls <= small.calls);
   BOOST_TEST(large.lists <= 1.0);
-  BOOST_TEST(large.largest_message <= FeedItemBook::kPageBytes);
+  BOOST_TEST(large.largest_message <= FeedItemTable::kPageBytes);
 }
 
 BOOST_AUTO_TEST_CASE(CallsForChangesDontGrowWithTheFleet) {
--- a/relay/testing/peer_mesh_test.cc
+++ b/relay/testing/peer_mesh_test.cc
@@ -86,21 +86,21 @@
   RunFor(loop, kOpened);
   BOOST_TEST(one.mesh.peers() == 1U);
   PeerMessage message;
-  message.kind = PeerMessageKind::kTransferWanted;
+  message.kind = PeerMessageKind::kTransferRequest;
   message.from = one.self;
   one.mesh.Broadcast(message);
   RunFor(loop, kOpened);
-  BOOST_TEST(two.Count(PeerMessageKind::kTransferWanted) == 1);
+  BOOST_TEST(two.Count(PeerMessageKind::kTransferRequest) == 1);
   one.mesh.SendTo(two.self, message);
   one.mesh.SendTo(Incarnation("vm-2@b"), message);
   RunFor(loop, kOpened);
-  BOOST_TEST(two.Count(PeerMessageKind::kTransferWanted) == 2);
+  BOOST_TEST(two.Count(PeerMessageKind::kTransferRequest) == 2);
 }
 
 BOOST_FIXTURE_TEST_CASE(PeersShowWhatIsInForceEachSecondAndAtOnce, Fixture) {
   Link(one, two);
   one.version = 8;
-  one.mesh.BroadcastSignOfLife();
+  one.mesh.BroadcastHeartbeat();
   RunFor(loop, kOpened);
   BOOST_TEST(two.Count(PeerMessageKind::kPing) == 1);
   BOOST_TEST(two.received.back().config_version == 8U);
--- a/relay/testing/peer_messages_test.cc
+++ b/relay/testing/peer_messages_test.cc
@@ -51,38 +51,38 @@
   heartbeat.routers = 295;
   Check(heartbeat, R"({"kind": "ping", "from": "vm1@1", "routers": 295,
                   "marks": {"targets": [12, 301]}})");
-  PeerMessage it = Message(PeerMessageKind::kNews);
-  it.news.feed = FeedName::kTargets;
-  it.news.since = 10;
-  it.news.revision = 13;
-  it.news.changes = {{{"t/1", "v", 12}, false}, {{"t/2", "", 13}, true}};
+  PeerMessage it = Message(PeerMessageKind::kUpdate);
+  it.update.feed = FeedName::kTargets;
+  it.update.since = 10;
+  it.update.revision = 13;
+  it.update.changes = {{{"t/1", "v", 12}, false}, {{"t/2", "", 13}, true}};
   Check(it, R"({"kind": "news", "from": "vm1@1", "news":
                 {"feed": "targets", "since": 10, "revision": 13, "age": 0,
                  "notice": false,
                  "changes": [["t/1", 12, "v"], ["t/2", 13]]}})");
-  Check(Message(PeerMessageKind::kStateWanted),
+  Check(Message(PeerMessageKind::kStateRequest),
         R"({"kind": "state_wanted", "from": "vm1@1", "news":
             {"feed": "config", "since": 0, "revision": 0, "age": 0,
              "notice": false, "changes": []}})");
 }
 
 BOOST_AUTO_TEST_CASE(PagesKeepTheirForm) {
-  PeerMessage state_request = Message(PeerMessageKind::kStateWanted);
-  state_request.news.feed = FeedName::kTargets;
-  state_request.news.since = 9;
-  state_request.news.paged = true;
-  state_request.news.after = "t/1";
+  PeerMessage state_request = Message(PeerMessageKind::kStateRequest);
+  state_request.update.feed = FeedName::kTargets;
+  state_request.update.since = 9;
+  state_request.update.paged = true;
+  state_request.update.after = "t/1";
   Check(state_request, R"({"kind": "state_wanted", "from": "vm1@1", "news":
                     {"feed": "targets", "since": 9, "revision": 0, "age": 0,
                      "notice": false, "changes": [], "paged": true,
                      "after": "t/1"}})");
   PeerMessage page = Message(PeerMessageKind::kState);
-  page.news.feed = FeedName::kTargets;
-  page.news.since = 9;
-  page.news.revision = 13;
-  page.news.after = "t/1";
-  page.news.more = true;
-  page.news.changes = {{{"t/2", "v", 12}, false}};
+  page.update.feed = FeedName::kTargets;
+  page.update.since = 9;
+  page.update.revision = 13;
+  page.update.after = "t/1";
+  page.update.more = true;
+  page.update.changes = {{{"t/2", "v", 12}, false}};
   Check(page, R"({"kind": "state", "from": "vm1@1", "news":
                   {"feed": "targets", "since": 9, "revision": 13, "age": 0,
                    "notice": false, "changes": [["t/2", 12, "v"]],
@@ -139,7 +139,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(MessagesAboutGrantsKeepTheirForm) {
-  PeerMessage it = Message(PeerMessageKind::kTransferWanted);
+  PeerMessage it = Message(PeerMessageKind::kTransferRequest);
   it.customer = CustomerName("clinic");
   it.amount = 500;
   it.all = true;
@@ -187,7 +187,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(ConfigurationsKeepTheirForm) {
-  Check(Message(PeerMessageKind::kConfigWanted),
+  Check(Message(PeerMessageKind::kConfigRequest),
         R"({"kind": "config_wanted", "from": "vm1@1"})");
   PeerMessage it = Message(PeerMessageKind::kConfig);
   it.item_key = "k";
@@ -278,24 +278,24 @@
 // Guards against taking revisions of different eras for the same.
 BOOST_AUTO_TEST_CASE(RevisionsKeepTheirEras) {
   PeerMessage it;
-  it.kind = PeerMessageKind::kNews;
+  it.kind = PeerMessageKind::kUpdate;
   it.targets_revision = {3, 12};
   it.store_era = 3;
   it.marks[FeedName::kTargets] = {{3, 12}, {}};
   it.halls[HallName("h")] = {{3, 5}, true};
-  it.news.feed = FeedName::kTargets;
-  it.news.since = {2, 40};
-  it.news.revision = {3, 12};
-  it.news.changes.push_back({{"t/a", "ready", {3, 11}}, false});
+  it.update.feed = FeedName::kTargets;
+  it.update.since = {2, 40};
+  it.update.revision = {3, 12};
+  it.update.changes.push_back({{"t/a", "ready", {3, 11}}, false});
   const auto out = DecodePeerMessage(EncodePeerMessage(it));
   BOOST_REQUIRE(out.has_value());
   BOOST_TEST(out->targets_revision == it.targets_revision);
   BOOST_TEST(out->store_era == 3);
   BOOST_TEST(out->marks.at(FeedName::kTargets).revision == it.targets_revision);
   BOOST_TEST(out->halls.at(HallName("h")).revision == StoreRevision(3, 5));
-  BOOST_TEST(out->news.since == it.news.since);
-  BOOST_TEST(out->news.revision == it.news.revision);
-  BOOST_TEST(out->news.changes.at(0).item.revision == StoreRevision(3, 11));
+  BOOST_TEST(out->update.since == it.update.since);
+  BOOST_TEST(out->update.revision == it.update.revision);
+  BOOST_TEST(out->update.changes.at(0).item.revision == StoreRevision(3, 11));
 }
 
 }  // namespace
--- a/relay/testing/rollout_fleet_test.cc
+++ b/relay/testing/rollout_fleet_test.cc
@@ -240,7 +240,7 @@
     on.is_decider = [this](const Incarnation& peer) {
       return Decides(std::stoi(VmOf(peer).value.substr(3)));
     };
-    on.tell = [this, &it] { SendHeartbeat(it); };
+    on.broadcast_heartbeat = [this, &it] { SendHeartbeat(it); };
     it.driver = std::make_unique<RolloutDriver>(
         RolloutDriver::Context{clock_, *it.client, TheChart()}, reader_,
         Rollout::Options{kExposureShare * 0.6}, std::move(on));
--- a/relay/testing/state_feed_test.cc
+++ b/relay/testing/state_feed_test.cc
@@ -36,12 +36,12 @@
   FeedItems Now() const { return fleet.store.ItemsAt(fleet.store.revision()); }
   PeerMessage Update(std::int64_t since, std::int64_t revision) const {
     PeerMessage out;
-    out.kind = PeerMessageKind::kNews;
+    out.kind = PeerMessageKind::kUpdate;
     out.from = a.self;
-    out.news.feed = FeedName::kTargets;
-    out.news.since = since;
-    out.news.revision = revision;
-    out.news.changes = fleet.store.Changes(since, revision);
+    out.update.feed = FeedName::kTargets;
+    out.update.since = since;
+    out.update.revision = revision;
+    out.update.changes = fleet.store.Changes(since, revision);
     return out;
   }
   static PeerMessage Heartbeat(const FeedNode& node) {
@@ -73,7 +73,7 @@
   BOOST_TEST((late.items == Now()));
   BOOST_TEST(late.client.calls() == 0U);
   fleet.BroadcastHeartbeats();
-  BOOST_TEST((late.feed.state() == FeedState::kTold));
+  BOOST_TEST((late.feed.state() == FeedState::kNotified));
   RunFor(fleet.loop, kReadsStore);
   BOOST_TEST(late.client.calls() == 0U);
 }
@@ -110,9 +110,9 @@
   std::vector<StateFeed*> feeds;
   FeedLinks links;
   links.is_reader = [](const Incarnation&) { return true; };
-  links.tell = [](const PeerMessage&) {};
+  links.publish = [](const PeerMessage&) {};
   links.store_answered = [&](const StateFeed& it) {
-    TellOthersOfAnswer(feeds, it);
+    NotifyOtherFeeds(feeds, it);
   };
   StateFeed::Handlers on;
   on.replaced = [](const std::vector<StoreItem>&) {};
@@ -145,7 +145,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(ASignOfACurrentReaderEndsARoutersOwnCalls, Fixture) {
-  BOOST_TEST((follower.feed.state() == FeedState::kTold));
+  BOOST_TEST((follower.feed.state() == FeedState::kNotified));
   BOOST_TEST(!follower.client.waits());
   BOOST_TEST(a.client.waits());
   BOOST_TEST((follower.items == Now()));
@@ -169,7 +169,7 @@
   fleet.store.Put("t/4", "four");
   fleet.Propagate();
   BOOST_TEST((follower.items == Now()));
-  BOOST_TEST((follower.feed.state() == FeedState::kTold));
+  BOOST_TEST((follower.feed.state() == FeedState::kNotified));
 }
 
 BOOST_FIXTURE_TEST_CASE(ALostAnswerIsAskedForAgainElsewhere, Fixture) {
@@ -198,7 +198,7 @@
   follower.feed.OnPeer(older);
   PeerMessage full = older;
   full.kind = PeerMessageKind::kState;
-  full.news.since = 0;
+  full.update.since = 0;
   follower.feed.OnPeer(full);
   BOOST_TEST((follower.items == Now()));
 }
@@ -209,11 +209,11 @@
   PeerMessage not_from_reader = Update(2, 3);
   not_from_reader.from = Incarnation("told@1");
   PeerMessage backwards = Update(2, 3);
-  backwards.news.since = 4;
+  backwards.update.since = 4;
   PeerMessage beyond = Update(2, 3);
-  beyond.news.changes[0].item.revision = 9;
+  beyond.update.changes[0].item.revision = 9;
   PeerMessage negative = Update(2, 3);
-  negative.news.since = -1;
+  negative.update.since = -1;
   for (const PeerMessage& it : {not_from_reader, backwards, beyond, negative}) {
     follower.feed.OnPeer(it);
     BOOST_TEST((follower.items == before));
@@ -224,7 +224,7 @@
 BOOST_FIXTURE_TEST_CASE(OfAnotherFeedNothingIsTaken, Fixture) {
   fleet.store.Put("t/3", "three");
   PeerMessage it = Update(2, 3);
-  it.news.feed = FeedName::kConfig;
+  it.update.feed = FeedName::kConfig;
   follower.feed.OnPeer(it);
   BOOST_TEST(!follower.feed.HasRead(3));
 }
@@ -248,7 +248,7 @@
     heartbeat.marks[FeedName::kTargets] = {2, {}};
     follower.feed.OnPeer(heartbeat);
     follower.feed.Check();
-    BOOST_TEST((follower.feed.state() == FeedState::kTold));
+    BOOST_TEST((follower.feed.state() == FeedState::kNotified));
   }
 }
 
@@ -357,7 +357,7 @@
   fleet.store.Put("t/3", "three");
   fleet.Propagate();
   fleet.BroadcastHeartbeats();
-  BOOST_TEST((follower.feed.state() == FeedState::kTold));
+  BOOST_TEST((follower.feed.state() == FeedState::kNotified));
   BOOST_TEST(!follower.client.waits());
 }
 
@@ -383,7 +383,7 @@
   fleet.Turn();
   std::size_t values = 0;
   for (const auto& it : fleet.sent) {
-    for (const auto& change : it.message.news.changes) {
+    for (const auto& change : it.message.update.changes) {
       values += change.item.value.size();
     }
   }
@@ -408,7 +408,7 @@
   b.client.AnswerWait();
   fleet.Turn();
   for (const auto& it : fleet.sent) {
-    BOOST_TEST(!it.message.news.only_notice);
+    BOOST_TEST(!it.message.update.only_notice);
   }
   fleet.DeliverAll();
   BOOST_TEST((follower.items == Now()));
@@ -421,7 +421,7 @@
   fleet.Turn();
   BOOST_TEST(follower.feed.Mark().has_value());
   fleet.BroadcastHeartbeats();
-  BOOST_TEST((a.feed.state() == FeedState::kTold));
+  BOOST_TEST((a.feed.state() == FeedState::kNotified));
   fleet.store.Put("t/3", "three");
   fleet.Propagate();
   BOOST_TEST((a.items == Now()));
--- a/relay/testing/target_follower_test.cc
+++ b/relay/testing/target_follower_test.cc
@@ -189,7 +189,7 @@
 // Routers without the store rely on answers of targets and on peers.
 BOOST_FIXTURE_TEST_CASE(ATargetLeavesByItsAnswerOrAPeersWord, Fixture) {
   const int before = changes;
-  BOOST_TEST(follower.OnSaysLeaving(
+  BOOST_TEST(follower.OnLeavingNotice(
       follower.registry().entries().at(TargetName("a"))));
   BOOST_TEST(Leaving("a"));
   BOOST_TEST(!Leaving("b"));
@@ -220,7 +220,7 @@
   BOOST_TEST(Leaving("a"));
   BOOST_TEST(!Listed("b"));
   // The same after another read.
-  follower.feed().AskFor({3, 0});
+  follower.feed().ReadUpTo({3, 0});
   BOOST_TEST(store.AnswerRange(
       "t/", {StoreEnd::kDone,
              {2, 2},
