--- a/relay/feed_pages.cc
+++ b/relay/feed_pages.cc
@@ -15,23 +15,23 @@
 
 }  // namespace
 
-// --- The reader's side -------------------------------------------------------
+// --- At the reader -----------------------------------------------------------
 
-void FeedItemBook::Start(const std::vector<StoreItem>& items,
-                         StoreRevision revision) {
+void FeedItemTable::Start(const std::vector<StoreItem>& items,
+                          StoreRevision revision) {
   Clear();
-  removals_from_ = revision;
+  removals_since_ = revision;
   for (const StoreItem& it : items) Apply({it, false});
 }
 
-void FeedItemBook::Clear() {
+void FeedItemTable::Clear() {
   items_.clear();
   bytes_ = 0;
   removed_.clear();
-  removals_from_ = {};
+  removals_since_ = {};
 }
 
-void FeedItemBook::Apply(const StoreChange& change) {
+void FeedItemTable::Apply(const StoreChange& change) {
   const auto it = items_.find(change.item.key);
   if (it != items_.end()) {
     bytes_ -= BytesOf(it->second);
@@ -43,41 +43,42 @@
     return;
   }
   removed_.push_back({change.item.key, change.item.revision});
-  if (removed_.size() <= kMostRemoved) return;
-  removals_from_ = std::max(removals_from_, removed_.front().revision);
+  if (removed_.size() <= kMaxRemovals) return;
+  removals_since_ = std::max(removals_since_, removed_.front().revision);
   removed_.pop_front();
 }
 
-std::vector<StoreChange> FeedItemBook::Replace(
+std::vector<StoreChange> FeedItemTable::Replace(
     const std::vector<StoreItem>& items, StoreRevision revision) {
   std::vector<StoreChange> out;
-  std::set<std::string> gone;
-  for (const auto& [key, it] : items_) gone.insert(key);
+  std::set<std::string> missing;
+  for (const auto& [key, it] : items_) missing.insert(key);
   for (const StoreItem& it : items) {
-    const auto known = items_.find(it.key);
+    const auto before = items_.find(it.key);
     const bool same =
-        known != items_.end() && known->second.revision == it.revision;
+        before != items_.end() && before->second.revision == it.revision;
     if (!same) out.push_back({it, false});
-    gone.erase(it.key);
+    missing.erase(it.key);
   }
-  for (const std::string& key : gone) {
+  for (const std::string& key : missing) {
     out.push_back({{key, "", revision}, true});
   }
   for (const StoreChange& it : out) Apply(it);
-  // What was there only between the two readings was not seen to go.
-  removals_from_ = revision;
+  // An item that was written and removed between the two readings left no
+  // removal.
+  removals_since_ = revision;
   return out;
 }
 
-bool FeedItemBook::Covers(StoreRevision since, StoreRevision revision) const {
+bool FeedItemTable::Covers(StoreRevision since, StoreRevision revision) const {
   return since != StoreRevision() && since.era == revision.era &&
-         since >= removals_from_;
+         since >= removals_since_;
 }
 
-std::optional<FeedNews> FeedItemBook::PageFor(const FeedNews& wanted,
-                                              StoreRevision revision) const {
+std::optional<FeedUpdate> FeedItemTable::PageFor(const FeedUpdate& wanted,
+                                                 StoreRevision revision) const {
   if (wanted.since >= revision) return std::nullopt;
-  FeedNews out;
+  FeedUpdate out;
   out.revision = revision;
   const bool covers = Covers(wanted.since, revision);
   if (covers) out.since = wanted.since;
@@ -88,21 +89,21 @@
   return out;
 }
 
-void FeedItemBook::AddRemovals(FeedNews& page) const {
+void FeedItemTable::AddRemovals(FeedUpdate& page) const {
   for (const Removal& it : removed_) {
     if (it.revision <= page.since || items_.contains(it.key)) continue;
     page.changes.push_back({{it.key, "", it.revision}, true});
   }
 }
 
-void FeedItemBook::AddItems(std::size_t most_bytes, FeedNews& page) const {
+void FeedItemTable::AddItems(std::size_t max_bytes, FeedUpdate& page) const {
   std::size_t bytes = 0;
   bool has_item = false;
   for (auto it = items_.upper_bound(page.after); it != items_.end(); ++it) {
     const StoreItem& item = it->second;
     if (item.revision <= page.since) continue;
     bytes += BytesOf(item);
-    if (has_item && bytes > most_bytes) {
+    if (has_item && bytes > max_bytes) {
       page.more = true;
       return;
     }
@@ -111,45 +112,45 @@
   }
 }
 
-// --- The side that is behind -------------------------------------------------
+// --- At the router that is behind --------------------------------------------
 
-FeedNews FeedPageReader::Next(StoreRevision known) const {
-  FeedNews out;
+FeedUpdate FeedPageAssembler::Next(StoreRevision known) const {
+  FeedUpdate out;
   out.paged = true;
-  out.since = under_way_ ? under_way_->since : known;
-  if (under_way_) out.after = under_way_->changes.back().item.key;
+  out.since = partial_ ? partial_->since : known;
+  if (partial_) out.after = partial_->changes.back().item.key;
   return out;
 }
 
-bool FeedPageReader::GoesOn(const FeedNews& page) const {
-  return under_way_ && page.since == under_way_->since &&
-         page.revision.era == under_way_->revision.era &&
-         page.after == under_way_->changes.back().item.key;
+bool FeedPageAssembler::Follows(const FeedUpdate& page) const {
+  return partial_ && page.since == partial_->since &&
+         page.revision.era == partial_->revision.era &&
+         page.after == partial_->changes.back().item.key;
 }
 
-PageStep FeedPageReader::Take(const FeedNews& page) {
-  // It names no key to go on from.
-  if (page.more && page.changes.empty()) return PageStep::kPassedOver;
+PageStep FeedPageAssembler::AddPage(const FeedUpdate& page) {
+  // The page has no key after which the next one could start.
+  if (page.more && page.changes.empty()) return PageStep::kIgnored;
   if (page.after.empty()) {
-    under_way_ = page;
-  } else if (GoesOn(page)) {
-    under_way_->revision = std::min(under_way_->revision, page.revision);
+    partial_ = page;
+  } else if (Follows(page)) {
+    partial_->revision = std::min(partial_->revision, page.revision);
     std::copy(page.changes.begin(), page.changes.end(),
-              std::back_inserter(under_way_->changes));
+              std::back_inserter(partial_->changes));
   } else {
     DropIfOfEarlierEra(page);
-    return PageStep::kPassedOver;
+    return PageStep::kIgnored;
   }
-  return page.more ? PageStep::kGoesOn : PageStep::kComplete;
+  return page.more ? PageStep::kMorePages : PageStep::kComplete;
 }
 
-// Readers have nothing more of an era that is over.
-void FeedPageReader::DropIfOfEarlierEra(const FeedNews& page) {
-  if (under_way_ && under_way_->revision.era < page.revision.era) Drop();
+// Readers have no further page of an era that has ended.
+void FeedPageAssembler::DropIfOfEarlierEra(const FeedUpdate& page) {
+  if (partial_ && partial_->revision.era < page.revision.era) Drop();
 }
 
-FeedNews FeedPageReader::Finish() {
-  FeedNews out = std::move(*under_way_);
+FeedUpdate FeedPageAssembler::Finish() {
+  FeedUpdate out = std::move(*partial_);
   Drop();
   return out;
 }
