--- a/ledger/account.h
+++ b/ledger/account.h
@@ -1,12 +1,13 @@
-// A router's own side of one budget: what it may spend without asking.
+// One router's account of one budget: what it may spend without a ledger write.
 //
-//   granted     what the ledger record shows for this router;
-//   unwritten   cost of finished requests that the record doesn't show yet;
-//   held        worst cases of running requests;
+//   granted     the router's grant in the ledger record;
+//   unwritten   cost of finished requests that the record doesn't include yet;
+//   held        worst-case costs of running requests;
 //   returning   amounts that a write in flight may already have given back.
 //
 // Available = granted - unwritten - held - returning, and never negative: a
-// hold is placed only if it fits, and a bill never exceeds its hold.
+// hold is placed only if it fits, and a bill never exceeds its hold. Amounts
+// are prepaid tokens.
 
 #ifndef QUAYTRACK_LEDGER_ACCOUNT_H_
 #define QUAYTRACK_LEDGER_ACCOUNT_H_
@@ -40,28 +41,29 @@
   // Places a hold if it fits.
   bool TryHold(const RequestId& request, Tokens amount);
 
-  // Turns a hold into a cost; returns the cost, cut to the hold.
+  // Replaces a hold by its cost; returns the cost, capped at the hold, or 0
+  // without a hold.
   Tokens Settle(Instant now, const RequestId& request, Tokens cost);
 
   void Release(const RequestId& request);
 
-  // The record now shows `granted`, and `written` of the costs are in it.
+  // The record now grants `granted` and includes `written` of the costs.
   void OnRecorded(Tokens granted, Tokens written);
 
-  // A write in flight gives back `amount`; it counts as gone until
-  // `OnRecorded`.
+  // Makes `amount` unavailable until `OnRecorded`, as a write in flight gives
+  // it back.
   void SetReturning(Tokens amount) {
     if (amount > returning_) returning_ = amount;
   }
 
-  // Costs that will never be written (the bill turned out to exist already).
-  void Forgive(Tokens cost) { unwritten_ -= cost; }
+  // Subtracts a cost that will never be written, as its bill exists already.
+  void CancelUnwritten(Tokens cost) { unwritten_ -= cost; }
 
   std::deque<WaitingHold>& waiting() { return waiting_; }
   const std::deque<WaitingHold>& waiting() const { return waiting_; }
 
  private:
-  // Over which spending is averaged. Not measured.
+  // Window over which the spending rate is averaged.
   static constexpr Duration kRateWindow = std::chrono::seconds(30);
 
   Tokens granted_ = 0;
--- a/ledger/bill.h
+++ b/ledger/bill.h
@@ -1,10 +1,10 @@
 // One bill, and the batches in which bills reach the key-value service.
 //
-// A request is billed once. Its bill id is minted with the request (unique by
-// construction, as it contains the router's incarnation), or derived from the
-// caller's Idempotency-Key so that a retry at another router has the same id.
-// Bills travel in batches: one batch is one journal key, written create-only in
-// the same transaction that moves the amounts in the ledger records.
+// A request is billed once. Its bill id is generated with the request (unique
+// by construction, as it contains the router's incarnation), or derived from
+// the caller's Idempotency-Key so that a retry at another router has the same
+// id. Bills are written in batches: one batch is one journal key, written
+// create-only in the same transaction that updates the ledger records.
 
 #ifndef QUAYTRACK_LEDGER_BILL_H_
 #define QUAYTRACK_LEDGER_BILL_H_
@@ -25,16 +25,16 @@
   BudgetName budget;
   RequestId request_id;
   Tokens tokens = 0;
-  // Milliseconds since the Unix epoch, for people; nothing is decided by it.
+  // Milliseconds since the Unix epoch; informational, no decision uses it.
   std::int64_t at_ms = 0;
-  // Set when the id came from the caller's key: the name of the create-only
-  // marker that stops a second bill for the same request.
+  // Set when the id is derived from the caller's Idempotency-Key: the name of
+  // the create-only marker that prevents a second bill for the same request.
   std::string marker;
 
   bool operator==(const Bill&) const = default;
 };
 
-// Bills that one incarnation writes as one journal key.
+// Bills that one incarnation writes under one journal key.
 struct BillBatch {
   std::uint64_t seq = 0;
   std::vector<Bill> bills;
@@ -42,10 +42,10 @@
   bool operator==(const BillBatch&) const = default;
 };
 
-// Text form stored under a journal key (JSON).
+// Returns the JSON that is stored under a journal key.
 std::string EncodeBatch(const BillBatch& batch);
 
-// Empty when `text` is not a batch.
+// Returns std::nullopt if `text` is not a batch.
 std::optional<BillBatch> DecodeBatch(std::string_view text);
 
 }  // namespace quaytrack
--- a/ledger/bill_batches.cc
+++ b/ledger/bill_batches.cc
@@ -16,12 +16,12 @@
 bool BillBatches::LastIsFull(bool needs_marker) const {
   if (open_.empty()) return true;
   const std::vector<Bill>& bills = open_.back().bills;
-  if (bills.size() >= limits_.most_bills) return true;
+  if (bills.size() >= limits_.max_bills) return true;
   if (!needs_marker) return false;
   const auto n = std::count_if(bills.begin(), bills.end(), [](const Bill& it) {
     return !it.marker.empty();
   });
-  return static_cast<std::size_t>(n) >= limits_.most_markers;
+  return static_cast<std::size_t>(n) >= limits_.max_markers;
 }
 
 void BillBatches::SealNext() {
--- a/ledger/grant_policy.cc
+++ b/ledger/grant_policy.cc
@@ -5,44 +5,45 @@
 namespace quaytrack {
 namespace {
 
-// At most this part of what is free is taken beyond the present need, so that
-// the first router to ask doesn't empty the budget. Not measured.
+// At most 1/kExtraDivisor of the free amount is taken beyond the present need,
+// so that the first router to ask doesn't empty the budget.
 constexpr Tokens kExtraDivisor = 4;
 
 // All routers together keep at most half of what remains: with an eighth each,
-// 32 routers left nothing free and called grants to and fro (commit b73ce75).
-Tokens Standing(const GrantView& view, const BudgetPolicy& policy) {
+// 32 routers left nothing free and kept reclaiming each other's grants.
+Tokens StandingShare(const GrantView& view, const BudgetPolicy& policy) {
   if (policy.standing_divisor <= 0 || view.remaining <= 0) return 0;
   const int divisor = std::max(policy.standing_divisor, 2 * view.routers);
   return view.remaining / divisor;
 }
 
-// Rule 2: what goes back when others are in need.
+// Rule 2: the amount to give back when other routers want more.
 Tokens IdleToReturn(const GrantView& view) {
   const Tokens idle = view.granted - view.in_use - view.waiting;
   const Tokens missing = view.wanted_by_others - view.free;
   return std::clamp<Tokens>(missing, 0, std::max<Tokens>(idle, 0));
 }
 
-// Rule 3: the move towards the target, with a dead band around it.
-Tokens MoveToTarget(const GrantView& view, const BudgetPolicy& policy,
-                    Tokens free) {
-  const Tokens target = TargetGrant(view, policy);
+// Rule 3: the change towards the desired size, with a dead band around it.
+Tokens MoveToDesiredGrant(const GrantView& view, const BudgetPolicy& policy,
+                          Tokens free) {
+  const Tokens desired = DesiredGrant(view, policy);
   const Tokens idle = view.granted - view.in_use - view.waiting;
-  if (view.granted > 2 * target && idle > 0) {
-    return -std::min(idle, view.granted - target);
+  if (view.granted > 2 * desired && idle > 0) {
+    return -std::min(idle, view.granted - desired);
   }
-  if (view.granted >= target / 2 || free <= 0) return 0;
-  if (view.scarce_lately) return 0;
-  return std::min(target - view.granted, free / kExtraDivisor);
+  if (view.granted >= desired / 2 || free <= 0) return 0;
+  if (view.recently_scarce) return 0;
+  return std::min(desired - view.granted, free / kExtraDivisor);
 }
 
 }  // namespace
 
-Tokens TargetGrant(const GrantView& view, const BudgetPolicy& policy) {
+Tokens DesiredGrant(const GrantView& view, const BudgetPolicy& policy) {
   const auto demand = static_cast<Tokens>(
       view.rate * static_cast<double>(policy.cover.count()));
-  return view.in_use + view.waiting + std::max(demand, Standing(view, policy));
+  return view.in_use + view.waiting +
+         std::max(demand, StandingShare(view, policy));
 }
 
 GrantPlan PlanGrant(const GrantView& view, const BudgetPolicy& policy) {
@@ -60,7 +61,7 @@
   }
   GrantView after = view;
   after.granted += need;
-  out.delta = need + MoveToTarget(after, policy, view.free - need);
+  out.delta = need + MoveToDesiredGrant(after, policy, view.free - need);
   return out;
 }
 
--- a/ledger/grant_policy.h
+++ b/ledger/grant_policy.h
@@ -1,23 +1,24 @@
 // How large a router's grant of one budget should be.
 //
 // A large grant lets a router serve through a long outage of the key-value
-// service; a small one leaves more for routers elsewhere. The policy comes from
-// the bundle, per budget:
+// service; a small one leaves more for other routers. The bundle gives the
+// policy of each budget:
 //
-//   cover              seconds of measured demand that a grant should last;
+//   cover              seconds that a grant should last at measured demand;
 //   standing_divisor   every router keeps at least remaining/divisor, even
-//                      with no demand, so that an outage finds it with
-//                      something to spend; 0 for nothing. All routers together
-//                      keep at most half of what remains this way.
+//                      without demand, so that it can serve during an outage;
+//                      0 disables this. All routers together keep at most half
+//                      of what remains this way.
 //
-// `PlanGrant` is a pure function of what the router sees. It is called for each
-// budget while a ledger write is being built. Rules, in order:
-//   1. What running and waiting requests need comes first, if it is free.
-//   2. If others are in need, or the limit was lowered under use, idle amounts
-//      go back and nothing extra is taken.
-//   3. Otherwise the grant moves towards the target, taking at most a quarter
-//      of what is free, and only when it is under half or over twice the
-//      target, so that a steady load causes no writes.
+// `PlanGrant` is a pure function of the router's view of a budget. It is called
+// for each budget while a ledger write is built. Amounts are prepaid tokens.
+// Rules, in order:
+//   1. The need of running and waiting requests is taken first, if it is free.
+//   2. If other routers want more, or the limit is below what is settled and
+//      granted, idle amounts are given back and nothing extra is taken.
+//   3. Otherwise the grant moves towards the desired size, taking at most a
+//      quarter of what is free, and only when it is under half or over twice
+//      that size, so that a steady load causes no writes.
 
 #ifndef QUAYTRACK_LEDGER_GRANT_POLICY_H_
 #define QUAYTRACK_LEDGER_GRANT_POLICY_H_
@@ -35,37 +36,38 @@
   bool operator==(const BudgetPolicy&) const = default;
 };
 
-// What a router sees of one budget while it plans.
+// A router's view of one budget.
 struct GrantView {
-  // Own grant, after the bills of this write are taken off.
+  // This router's grant, less the bills of this write.
   Tokens granted = 0;
-  // Held by running requests, plus costs not yet in a batch being written.
+  // Held by running requests, plus costs that aren't in the batch being
+  // written.
   Tokens in_use = 0;
-  // Sum of the waiting holds that would fit, in arrival order.
+  // Sum of the first waiting holds, in arrival order, that would fit.
   Tokens waiting = 0;
-  // Measured spending, tokens a second.
+  // Measured spending in tokens per second.
   double rate = 0;
-  // Limit less settled less all grants.
+  // Limit minus settled minus all grants.
   Tokens free = 0;
-  // Limit less settled.
+  // Limit minus settled.
   Tokens remaining = 0;
   // Routers that share the budget.
   int routers = 1;
-  // Another router was in need a short while ago.
-  bool scarce_lately = false;
-  // Sum of what other routers ask for.
+  // Another router wanted more within LedgerSyncOptions::scarcity_backoff.
+  bool recently_scarce = false;
+  // Sum of the other routers' `wanted` marks.
   Tokens wanted_by_others = 0;
 };
 
 struct GrantPlan {
-  // Change of the own grant: positive takes, negative gives back.
+  // Change of this router's grant; a negative one gives back.
   Tokens delta = 0;
-  // Part of `waiting` that could not be covered; to be marked as wanted.
+  // The need that couldn't be covered; to be marked as wanted.
   Tokens short_by = 0;
 };
 
-// The amount that the grant should be near when nothing is scarce.
-Tokens TargetGrant(const GrantView& view, const BudgetPolicy& policy);
+// The size that the grant should be near when the budget isn't scarce.
+Tokens DesiredGrant(const GrantView& view, const BudgetPolicy& policy);
 
 GrantPlan PlanGrant(const GrantView& view, const BudgetPolicy& policy);
 
--- a/ledger/record.cc
+++ b/ledger/record.cc
@@ -11,14 +11,14 @@
 
 Json AmountsToJson(const std::map<Incarnation, Tokens>& amounts) {
   Json out = Json::object();
-  for (const auto& [who, n] : amounts) out[who.value] = n;
+  for (const auto& [router, n] : amounts) out[router.value] = n;
   return out;
 }
 
 std::map<Incarnation, Tokens> AmountsFromJson(const Json& json) {
   std::map<Incarnation, Tokens> out;
-  for (const auto& [who, n] : json.items()) {
-    out[Incarnation(who)] = n.get<Tokens>();
+  for (const auto& [router, n] : json.items()) {
+    out[Incarnation(router)] = n.get<Tokens>();
   }
   return out;
 }
@@ -53,33 +53,33 @@
 
 Tokens BudgetEntry::Outstanding() const {
   Tokens sum = 0;
-  for (const auto& [who, n] : grants) sum += n;
+  for (const auto& [router, n] : grants) sum += n;
   return sum;
 }
 
-Tokens BudgetEntry::GrantOf(const Incarnation& who) const {
-  auto it = grants.find(who);
+Tokens BudgetEntry::GrantOf(const Incarnation& router) const {
+  auto it = grants.find(router);
   return it == grants.end() ? 0 : it->second;
 }
 
-void BudgetEntry::AddGrant(const Incarnation& who, Tokens change) {
-  const Tokens amount = GrantOf(who) + change;
+void BudgetEntry::AddGrant(const Incarnation& router, Tokens change) {
+  const Tokens amount = GrantOf(router) + change;
   if (amount == 0) {
-    grants.erase(who);
+    grants.erase(router);
   } else {
-    grants[who] = amount;
+    grants[router] = amount;
   }
 }
 
 Tokens BudgetEntry::WantedByOthers(const Incarnation& self) const {
   Tokens sum = 0;
-  for (const auto& [who, n] : wanted) {
-    if (who != self) sum += n;
+  for (const auto& [router, n] : wanted) {
+    if (router != self) sum += n;
   }
   return sum;
 }
 
-void BudgetEntry::TakeLimit(Tokens limit, std::uint64_t version) {
+void BudgetEntry::UpdateLimit(Tokens limit, std::uint64_t version) {
   const bool newer = version > bundle_version;
   if (!newer || limit == bundle_limit) return;
   bundle_limit = limit;
@@ -92,10 +92,10 @@
     budgets[name.value] = ToJson(it);
   }
   Json writers = Json::object();
-  for (const auto& [who, it] : record.writers) {
-    writers[who.value] = {{"seq", it.seq},
-                          {"witness", it.witness.value},
-                          {"registered", it.registered}};
+  for (const auto& [router, it] : record.writers) {
+    writers[router.value] = {{"seq", it.seq},
+                             {"witness", it.witness.value},
+                             {"registered", it.registered}};
   }
   return Json{{"budgets", budgets}, {"writers", writers}}.dump();
 }
@@ -107,8 +107,8 @@
     for (const auto& [name, it] : json.at("budgets").items()) {
       out.budgets[BudgetName(name)] = BudgetFromJson(it);
     }
-    for (const auto& [who, it] : json.at("writers").items()) {
-      WriterEntry& writer = out.writers[Incarnation(who)];
+    for (const auto& [router, it] : json.at("writers").items()) {
+      WriterEntry& writer = out.writers[Incarnation(router)];
       writer.seq = it.at("seq").get<std::uint64_t>();
       writer.witness.value = it.at("witness").get<std::string>();
       writer.registered = it.at("registered").get<std::int64_t>();
--- a/ledger/record.h
+++ b/ledger/record.h
@@ -1,19 +1,19 @@
 // The ledger record: what the key-value service keeps about budgets.
 //
-// Budgets are prepaid, and routers must spend without asking anybody. So the
-// record hands out escrow (O'Neil, "The Escrow Transactional Method", TODS
-// 1986): a router is granted an amount, spends from it in memory, and reports
-// what it spent later. In every stored version of a record
+// Budgets are prepaid, and routers must spend without a write per request. So
+// the record uses escrow (O'Neil, "The Escrow Transactional Method", TODS
+// 1986): a router is granted an amount, spends from it in memory, and writes
+// later what it spent. In every stored version of a record
 //
 //     settled + sum of outstanding grants <= limit
 //
-// and a router never spends more than its own grant. Therefore the sum of all
-// spending can't pass the limit, whoever is cut off, paused or dead. The price
-// is that a grant nobody uses is missing elsewhere; `wanted` marks are how a
-// router in need calls idle grants back.
+// and a router never spends more than its grant. Therefore the sum of all
+// spending can't exceed the limit, whichever routers are cut off, paused or
+// dead. The cost is that other routers can't spend an idle grant; a router that
+// needs more sets a `wanted` mark, and the others give their idle grants back.
 //
 // Budgets are spread over `kLedgerShards` records by a stable hash, so that one
-// compare-and-swap carries many budgets and no record nears the size limit.
+// compare-and-swap covers many budgets and no record nears the size limit.
 
 #ifndef QUAYTRACK_LEDGER_RECORD_H_
 #define QUAYTRACK_LEDGER_RECORD_H_
@@ -30,49 +30,51 @@
 
 inline constexpr int kLedgerShards = 8;
 
-// The shard that holds `budget`, in [0, kLedgerShards).
+// The shard that contains `budget`, in [0, kLedgerShards).
 int ShardOf(const BudgetName& budget);
 
 // One budget within a record.
 struct BudgetEntry {
-  // Limit given by the bundle, and the version that gave it. A writer with a
-  // newer bundle replaces both; one with an older bundle leaves them.
+  // The bundle's limit, and the version that set it. A writer with a newer
+  // bundle replaces both; one with an older bundle leaves them.
   Tokens bundle_limit = 0;
   std::uint64_t bundle_version = 0;
   // Sum of top-ups made with `quaytrack budget add`.
   Tokens added = 0;
-  // Operation id of the latest top-up, to tell whether a write whose answer
-  // was lost took effect.
+  // Operation id of the latest top-up; shows whether a write whose answer was
+  // lost took effect.
   std::string last_topup;
   // Sum of all bills ever written for this budget.
   Tokens settled = 0;
   std::map<Incarnation, Tokens> grants;
-  // Amounts that routers need now and found nothing free for.
+  // Amounts that routers need now but that weren't free.
   std::map<Incarnation, Tokens> wanted;
 
   Tokens Limit() const { return bundle_limit + added; }
   Tokens Outstanding() const;
-  // What may still be granted. Negative after a limit was lowered under use.
+  // What may still be granted. Negative if the limit was lowered below what is
+  // settled and granted.
   Tokens Free() const { return Limit() - settled - Outstanding(); }
 
-  Tokens GrantOf(const Incarnation& who) const;
-  // Changes a grant; one of nothing leaves the record.
-  void AddGrant(const Incarnation& who, Tokens change);
+  Tokens GrantOf(const Incarnation& router) const;
+  // Changes a grant; a grant of 0 is removed.
+  void AddGrant(const Incarnation& router, Tokens change);
   Tokens WantedByOthers(const Incarnation& self) const;
-  // The bundle with the higher version decides the limit, whoever writes.
-  void TakeLimit(Tokens limit, std::uint64_t version);
+  // Sets the bundle's limit if `version` is newer than the recorded one.
+  void UpdateLimit(Tokens limit, std::uint64_t version);
 
   bool operator==(const BudgetEntry&) const = default;
 };
 
-// What the record remembers of one writing incarnation.
+// The record's state of one writing incarnation.
 struct WriterEntry {
-  // Sequence number of its latest applied batch. It tells a writer whose
-  // answer was lost whether the write took effect.
+  // Sequence number of the latest applied batch; shows a writer whose answer
+  // was lost whether the write took effect.
   std::uint64_t seq = 0;
-  // The peer that keeps copies of its unwritten bills; empty for none.
+  // The peer that keeps copies of the unwritten bills; empty if there is none.
   Incarnation witness;
-  // Revision at which the incarnation registered; orders those of one VM.
+  // Revision at which the incarnation registered; orders the incarnations of
+  // one VM.
   std::int64_t registered = 0;
 
   bool operator==(const WriterEntry&) const = default;
@@ -87,7 +89,7 @@
 
 std::string EncodeRecord(const LedgerRecord& record);
 
-// Empty when `text` is not a record.
+// Returns std::nullopt if `text` is not a record.
 std::optional<LedgerRecord> DecodeRecord(std::string_view text);
 
 }  // namespace quaytrack
--- a/ledger/recovery.cc
+++ b/ledger/recovery.cc
@@ -17,7 +17,7 @@
   return out;
 }
 
-// Removes every trace of `dead`; false if there is none.
+// Removes all entries of `dead`; returns whether there were any.
 bool RemoveRouter(const Incarnation& dead, LedgerRecord& record) {
   bool found = record.writers.erase(dead) > 0;
   for (auto& [name, entry] : record.budgets) {
@@ -30,15 +30,15 @@
 }  // namespace
 
 std::vector<Bill> MissingBills(const RecoveryInput& input) {
-  std::set<std::string> known;
+  std::set<std::string> bill_ids;
   for (const BillBatch& batch : input.journal) {
-    for (const Bill& it : batch.bills) known.insert(it.bill_id);
+    for (const Bill& it : batch.bills) bill_ids.insert(it.bill_id);
   }
   std::vector<Bill> out;
   const auto add = [&](const Bill& it) {
-    const bool billed_elsewhere =
+    const bool billed_by_another =
         !it.marker.empty() && input.existing_markers.contains(it.marker);
-    if (billed_elsewhere || !known.insert(it.bill_id).second) return;
+    if (billed_by_another || !bill_ids.insert(it.bill_id).second) return;
     out.push_back(it);
   };
   for (const auto& [request, it] : input.copy.bills) add(it.bill);
@@ -68,10 +68,10 @@
   return out;
 }
 
-bool HoldsGrants(const LedgerRecord& record, const Incarnation& who) {
+bool HoldsGrants(const LedgerRecord& record, const Incarnation& router) {
   return std::any_of(
       record.budgets.begin(), record.budgets.end(),
-      [&](const auto& it) { return it.second.grants.contains(who); });
+      [&](const auto& it) { return it.second.grants.contains(router); });
 }
 
 }  // namespace quaytrack
--- a/ledger/recovery.h
+++ b/ledger/recovery.h
@@ -1,19 +1,22 @@
-// Closing the account of a router that is proven dead.
+// Plans the transaction that closes the account of a router that is proven
+// dead.
 //
-// Its grants return to the budgets, less what it spent. What it spent is known
-// from three sources: the bills in its journal, the copies of its unwritten
-// bills at its witness, and, for requests that were still running, the engines
-// themselves. The whole is one transaction that also removes the dead router's
-// entries, so it is done once, and a router that was dead only in appearance
-// finds itself removed and stops.
+// The router's grants return to the budgets, minus what it spent. Three sources
+// show what it spent: the bills in its journal, the copies of its unwritten
+// bills at its witness, and, for requests that were still running, the engines.
+// One transaction writes the missing bills and removes the dead router's
+// entries, so recovery is done once, and a router that was declared dead while
+// it still runs finds its entries removed and stops.
 //
-//   RecoveryInput input = ...;           // one snapshot of the service
-//   if (auto commit = PlanRecovery(input)) { write it; on conflict, read again
+//   RecoveryInput input = ...;  // one snapshot of the service
+//   if (auto commit = PlanRecovery(input)) {
+//     // write it; on conflict, read a new snapshot and plan again
 //   }
 //
-// Who may recover: the witness named in the dead router's entry. If the witness
-// is dead too, nobody can know what was spent between the last ledger write and
-// the deaths; the grants then stay charged until an operator releases them.
+// Only the witness named in the dead router's entry may recover it. If the
+// witness is dead too, what was spent between the last ledger write and the
+// deaths is unknown; the grants then stay outstanding until an operator
+// releases them.
 
 #ifndef QUAYTRACK_LEDGER_RECOVERY_H_
 #define QUAYTRACK_LEDGER_RECOVERY_H_
@@ -37,19 +40,19 @@
   std::set<std::string> existing_markers;
   // The witness's copies.
   WitnessCopy copy;
-  // Bills for the intents of the copy, as the targets told.
+  // Bills for the copy's intents, as reported by the targets.
   std::vector<Bill> asked;
 };
 
-// The bills of a copy that are not in the journal yet.
+// The bills from the copy and the targets that aren't stored yet.
 std::vector<Bill> MissingBills(const RecoveryInput& input);
 
-// The transaction that closes the account; empty when no record mentions the
-// dead router any more.
+// The transaction that closes the account; std::nullopt if no record mentions
+// the dead router.
 std::optional<LedgerCommit> PlanRecovery(const RecoveryInput& input);
 
-// Whether a record still holds grants of `who`.
-bool HoldsGrants(const LedgerRecord& record, const Incarnation& who);
+// Whether a record contains grants of `router`.
+bool HoldsGrants(const LedgerRecord& record, const Incarnation& router);
 
 }  // namespace quaytrack
 
--- a/ledger/sync.cc
+++ b/ledger/sync.cc
@@ -38,7 +38,7 @@
     return HoldOutcome::kHeld;
   }
   if (CachedEntry(budget) != nullptr &&
-      MostThatCouldBeHad(budget, account) < amount) {
+      MaxObtainable(budget, account) < amount) {
     return HoldOutcome::kExhausted;
   }
   if (!reachable_ || draining_) return HoldOutcome::kUnavailable;
@@ -53,7 +53,7 @@
   bill.tokens = account.Settle(now, bill.request_id, bill.tokens);
   const std::uint64_t seq = bills_.Add(bill);
   if (seq == 0) {
-    account.Forgive(bill.tokens);
+    account.CancelUnwritten(bill.tokens);
     events_.push_back({LedgerEventKind::kBillDropped, bill.request_id, {}, 0});
     bill.tokens = 0;
     return 0;
@@ -90,7 +90,7 @@
   AddBills(work);
   PlanDirtyBudgets(now, work);
   if (work.empty()) {
-    // A sealed batch without bills (all were dropped) needs no write.
+    // A sealed batch whose bills were all dropped needs no write.
     if (bills_.sealed()) ResolveSealed();
     return std::nullopt;
   }
@@ -99,14 +99,15 @@
   return FinishCommit(now, std::move(work));
 }
 
-// Whether a record that others write too must be read before it is replaced;
-// then it will be.
+// Schedules reads of the records in `work` that other routers write too and
+// that haven't been read since the last commit. Returns whether any read is
+// pending.
 bool LedgerSync::ReadBeforeCommit(const ShardMap& work) {
   for (const auto& [shard, state] : work) {
     auto cached = cache_.find(shard);
     const bool shared =
         cached != cache_.end() && cached->second.record.writers.size() > 1;
-    if (shared && !fresh_.contains(shard)) must_read_.insert(shard);
+    if (shared && !read_since_commit_.contains(shard)) must_read_.insert(shard);
   }
   return !must_read_.empty();
 }
@@ -153,18 +154,19 @@
   }
   for (const ShardState& it : *states) {
     must_read_.erase(it.shard);
-    fresh_.insert(it.shard);
+    read_since_commit_.insert(it.shard);
   }
-  // Less than all attempted records tells nothing of the attempts: what has
-  // changed in the others is unknown, and a marker may be of an own bill.
-  const bool whole = CoversAttempts(*states);
-  for (const ShardState& it : *states) Take(now, it, whole);
+  // A snapshot of only some attempted records doesn't resolve the attempts:
+  // what changed in the other records is unknown, and a marker may belong to
+  // one of this router's bills.
+  const bool complete = CoversAttempts(*states);
+  for (const ShardState& it : *states) ProcessRecord(now, it, complete);
   FenceIfRemoved();
   if (fenced_) return;
-  if (whole && AppliedIn(*states)) {
+  if (complete && AppliedIn(*states)) {
     ResolveSealed();
-  } else if (whole) {
-    DropBilledTwice(existing_markers);
+  } else if (complete) {
+    DropDuplicateBills(existing_markers);
   }
   for (const auto& [name, it] : settings_) dirty_.insert(name);
   ServeWaiting();
@@ -189,28 +191,30 @@
 }
 
 void LedgerSync::OnWatched(Instant now, const ShardState& state) {
-  Take(now, state, /*whole=*/false);
+  ProcessRecord(now, state, /*complete=*/false);
   FenceIfRemoved();
   ServeWaiting();
 }
 
-// Takes a record as seen; `whole` if all attempted records were seen with it.
-// One that alone shows the sealed batch isn't kept, since its costs would count
-// in it and here; all attempted records are read instead.
-void LedgerSync::Take(Instant now, const ShardState& state, bool whole) {
-  NoticeNeeds(now, state);
-  if (whole || !ShowsSealed(state)) {
+// Processes a record that was read or watched; `complete` if one snapshot
+// showed it with all attempted records. Otherwise a record that includes the
+// sealed batch isn't cached, as the batch's costs would count twice, in the
+// record and as unwritten; all attempted records are read instead.
+void LedgerSync::ProcessRecord(Instant now, const ShardState& state,
+                               bool complete) {
+  NoteWantedMarks(now, state);
+  if (complete || !ShowsSealed(state)) {
     CacheIfNewer(state);
     return;
   }
   must_read_.insert(attempted_.begin(), attempted_.end());
 }
 
-void LedgerSync::NoticeNeeds(Instant now, const ShardState& state) {
+void LedgerSync::NoteWantedMarks(Instant now, const ShardState& state) {
   for (const auto& [name, it] : state.record.budgets) {
     dirty_.insert(name);
     if (it.WantedByOthers(self_) == 0) continue;
-    scarce_at_[name] = now;
+    wanted_seen_at_[name] = now;
     urgent_ = true;
   }
 }
@@ -244,8 +248,8 @@
 void LedgerSync::ResolveSealed() {
   for (int shard : attempted_) {
     const ShardState& state = cache_[shard];
-    AdoptRecord(state);
-    // The attempt that won may have been on fewer records than a later one.
+    UpdateAccounts(state);
+    // The applied attempt may cover fewer records than a later one.
     if (state.record.writers.contains(self_)) joined_.insert(shard);
   }
   events_.push_back({LedgerEventKind::kBillsWritten, {}, {}, bills_.Resolve()});
@@ -254,8 +258,8 @@
   ServeWaiting();
 }
 
-// The record has what the sealed batch changed.
-void LedgerSync::AdoptRecord(const ShardState& state) {
+// Updates the accounts from a record that includes the sealed batch.
+void LedgerSync::UpdateAccounts(const ShardState& state) {
   for (auto& [name, account] : accounts_) {
     if (ShardOf(name) != state.shard) continue;
     auto it = state.record.budgets.find(name);
@@ -265,10 +269,10 @@
   }
 }
 
-void LedgerSync::DropBilledTwice(
+void LedgerSync::DropDuplicateBills(
     const std::set<std::string>& existing_markers) {
   for (const Bill& it : bills_.DropExisting(existing_markers)) {
-    accounts_[it.budget].Forgive(it.tokens);
+    accounts_[it.budget].CancelUnwritten(it.tokens);
     events_.push_back({LedgerEventKind::kBillDropped, it.request_id, {}, 0});
   }
 }
@@ -306,15 +310,15 @@
       events_.push_back({LedgerEventKind::kHoldGranted, first.request, {}, 0});
       waiting.pop_front();
     }
-    RefuseHopeless(name, account);
+    RefuseUncoverable(name, account);
   }
 }
 
-void LedgerSync::RefuseHopeless(const BudgetName& name, Account& account) {
+void LedgerSync::RefuseUncoverable(const BudgetName& name, Account& account) {
   if (CachedEntry(name) == nullptr) return;
   while (!account.waiting().empty()) {
-    const Tokens most = MostThatCouldBeHad(name, account);
-    if (account.waiting().front().amount <= most) return;
+    const Tokens max_amount = MaxObtainable(name, account);
+    if (account.waiting().front().amount <= max_amount) return;
     Refuse(account, HoldRefusal::kExhausted);
   }
 }
@@ -325,16 +329,16 @@
   account.waiting().pop_front();
 }
 
-Tokens LedgerSync::MostThatCouldBeHad(const BudgetName& name,
-                                      const Account& account) const {
+Tokens LedgerSync::MaxObtainable(const BudgetName& name,
+                                 const Account& account) const {
   const BudgetEntry* entry = CachedEntry(name);
   if (entry == nullptr) return 0;
   const Tokens in_use = account.HeldTotal() + account.unwritten();
   auto setting = settings_.find(name);
   if (setting == settings_.end()) return 0;
-  BudgetEntry fresh = *entry;
-  fresh.TakeLimit(setting->second.limit, bundle_version_);
-  return fresh.Limit() - fresh.settled - in_use;
+  BudgetEntry updated = *entry;
+  updated.UpdateLimit(setting->second.limit, bundle_version_);
+  return updated.Limit() - updated.settled - in_use;
 }
 
 const BudgetEntry* LedgerSync::CachedEntry(const BudgetName& name) const {
@@ -347,7 +351,7 @@
 void LedgerSync::Tick(Instant now) {
   for (auto& [name, account] : accounts_) {
     while (!account.waiting().empty() &&
-           account.waiting().front().since + options_.hold_wait <= now) {
+           account.waiting().front().since + options_.hold_timeout <= now) {
       Refuse(account,
              reachable_ ? HoldRefusal::kExhausted : HoldRefusal::kUnavailable);
       dirty_.insert(name);
--- a/ledger/sync.h
+++ b/ledger/sync.h
@@ -1,4 +1,4 @@
-// LedgerSync keeps one router's accounts and the shared ledger in step.
+// LedgerSync synchronizes one router's accounts with the shared ledger.
 //
 // Spending is local and immediate:
 //
@@ -7,40 +7,42 @@
 //   switch (ledger.Hold(now, request, budget, worst_case)) {...}
 //   ledger.Settle(now, request, bill);          // or Release(request)
 //
-// Everything else is a cycle that the caller drives with the key-value service:
+// Everything else is a cycle in which the caller performs actions on the
+// key-value service:
 //
 //   while (auto action = ledger.Next(now)) {
-//     perform it, then call OnRead(...) or OnCommit(...);
+//     // perform it, then call OnRead(...) or OnCommit(...)
 //   }
 //   for (const LedgerEvent& it : ledger.TakeEvents()) {...}
 //
 // One commit is one transaction: it compares the revision of each record that
-// it replaces, writes one batch of bills create-only, and moves the amounts, so
-// that records and bills agree in every revision.
+// it replaces, writes one batch of bills create-only, and updates the amounts,
+// so that records and bills agree in every revision.
 //
 // Other routers' changes. Records are not watched: with many routers each write
-// would travel to all of them (docs/design/ledger.md has the figures). A record
-// that others write too is read right before it is written, and a small
-// message, `need`, asks others to read one out of turn.
+// would be sent to all of them (docs/design/ledger.md has the figures). A
+// record that other routers write too is read right before it is written, and a
+// small message, `need`, asks other routers to read a record immediately.
 //
 // Lost answers. A commit whose answer is lost may have been applied, or may
 // still be applied later. The batch keeps its sequence number until some
 // attempt is known to be in the record: every attempt for one number replaces
 // at least the records of the attempts before it, at their compared revisions,
-// so at most one of them can win, and the record's `writers[self].seq` says
-// whether one has. It is resolved from one snapshot of all those records: what
-// is known of a commit counts for all its records or for none. A read of some
-// of them, or a watch, that shows it as applied only makes all of them be read.
-// Until then all that such an attempt may have given back counts as gone, and
-// nothing that it may have taken counts as owned.
+// so at most one of them can be applied, and the record's `writers[self].seq`
+// shows whether one was. The batch is resolved from one snapshot of all those
+// records, because a commit is applied to all its records or to none. A watch,
+// or a read of some of the records, that shows the commit as applied only
+// causes a read of all of them. Until the batch is resolved, what an attempt
+// may have given back is unavailable, and so is what it may have taken.
 //
-// Being declared dead. Recovery removes `writers[self]`. A router that finds
-// its entry missing has been replaced; it reports kFenced and must stop.
+// Fencing. Recovery of a router that is declared dead removes `writers[self]`.
+// A router that finds its entry missing reports kFenced and must stop.
 //
-// It owns this router's accounts and its copies of the records. When something
-// is due and what an answer means is in ledger/sync.cc; what a commit contains
-// is in ledger/sync_commit.cc, by the sizes of ledger/grant_policy.h; the bills
-// on their way are in ledger/bill_batches.h. Amounts are prepaid tokens.
+// LedgerSync owns this router's accounts and its copies of the records.
+// ledger/sync.cc decides when something is due and evaluates answers;
+// ledger/sync_commit.cc builds commits, with the grant sizes of
+// ledger/grant_policy.h; ledger/bill_batches.h has the bills that aren't known
+// to be stored. Amounts are prepaid tokens.
 
 #ifndef QUAYTRACK_LEDGER_SYNC_H_
 #define QUAYTRACK_LEDGER_SYNC_H_
@@ -73,30 +75,30 @@
 };
 
 struct LedgerSyncOptions {
-  // Shortest time between two commits; bounds writes a second. The setting
-  // --commit-spacing-ms; its default is not measured.
+  // Minimum time between two commits; bounds writes per second. Set by
+  // --commit-spacing-ms.
   Duration commit_spacing = std::chrono::milliseconds(100);
-  // The same while a witness has copies of all unwritten bills and nobody waits
-  // for a grant: 0.04 writes a request at 25 requests a second
+  // The same while a witness has copies of all unwritten bills and no request
+  // waits for a grant: 0.04 writes per request at 25 requests per second
   // (docs/design/bills-and-witness.md).
   Duration witnessed_spacing = std::chrono::milliseconds(1000);
-  // How long a request may wait for a larger grant. Not measured.
-  Duration hold_wait = std::chrono::milliseconds(800);
-  // How often all records are read although nobody said that they changed. Not
-  // measured; changes are told by `need` (commit 33476b8).
+  // Maximum time that a request waits for a larger grant.
+  Duration hold_timeout = std::chrono::milliseconds(800);
+  // How often all records are read without a `need` message, which is how
+  // changes are usually announced.
   Duration refresh_every = std::chrono::seconds(10);
-  // How often grants are compared with their targets when nothing else is due.
-  // Not measured.
+  // How often grants are compared with their desired sizes when nothing else is
+  // due.
   Duration adjust_every = std::chrono::seconds(1);
-  // After another router was in need, how long nothing extra is taken. Commit
-  // b73ce75 has the run without it; the length is not measured.
-  Duration scarce_memory = std::chrono::seconds(5);
-  // Pause after a failed read or commit. Not measured.
+  // After another router's `wanted` mark was seen, nothing beyond the present
+  // need is taken for this long.
+  Duration scarcity_backoff = std::chrono::seconds(5);
+  // Pause after a failed read or commit.
   Duration retry_after_failure = std::chrono::milliseconds(200);
-  // Bills in one batch at most; the rest waits for the next. Not measured.
+  // Maximum number of bills in one batch.
   std::size_t max_batch = 1000;
-  // Bills with a marker in one batch; each is two operations of a transaction,
-  // which the service limits to 128.
+  // Maximum number of bills with a marker in one batch; each is two operations
+  // of a transaction, which the service limits to 128.
   std::size_t max_markers = 50;
 };
 
@@ -104,7 +106,7 @@
   kHeld,
   kWaiting,      // a kHoldGranted or kHoldRefused event follows
   kExhausted,    // the budget can't cover it
-  kUnavailable,  // the own grant can't, and the ledger can't be reached
+  kUnavailable,  // the local grant can't, and the ledger can't be reached
   kUnknownBudget,
   kFenced,
 };
@@ -115,26 +117,27 @@
 // A record as it was read, or as it stands after a commit.
 struct ShardState {
   int shard = 0;
-  // Revision of the last change; 0 when the key doesn't exist.
+  // Revision of the last change; 0 if the key doesn't exist.
   std::int64_t revision = 0;
   LedgerRecord record;
 };
 
-// Read these records as one snapshot, and tell which of `markers` exist. One
-// snapshot, because a record that shows a batch must not be combined with an
-// older state of another record that the same batch changed.
+// An action: read these records as one snapshot, and report which of `markers`
+// exist. One snapshot, because a record that includes a batch must not be
+// combined with an older state of another record that the same batch changed.
 struct ReadShards {
   std::vector<int> shards;
   std::vector<std::string> markers;
 };
 
-// Replace `shards` if each still has its revision, and, if the batch has bills,
-// create its journal key and the markers that its bills name; all or nothing.
+// An action: replace `shards` if each still has its revision, and, if the batch
+// has bills, create its journal key and the markers that its bills name, in one
+// transaction.
 struct LedgerCommit {
   std::vector<ShardState> shards;
   BillBatch batch;
-  // Shards whose other users should read them now: this commit asks for a grant
-  // to be given back, gives one back, or closes a dead router's account.
+  // Shards that other routers should read now: this commit asks for a grant to
+  // be given back, gives one back, or closes a dead router's account.
   std::set<int> need;
 };
 
@@ -144,7 +147,7 @@
 
 enum class LedgerEventKind {
   kHoldGranted,   // `request` may start
-  kHoldRefused,   // `request` must be refused for `refusal`
+  kHoldRefused,   // `request` must be refused; `refusal` is the reason
   kBillsWritten,  // bills up to `seq` are stored
   kBillDropped,   // `request`'s bill existed already; not billed again
   kFenced,        // this incarnation was declared dead
@@ -161,56 +164,59 @@
  public:
   LedgerSync(Incarnation self, LedgerSyncOptions options);
 
-  // Takes the budgets of a newer bundle. Budgets that it no longer names keep
-  // their running requests but take no new ones.
+  // Sets the budgets of a newer bundle. Budgets that it no longer names keep
+  // their running requests but accept no new ones.
   void SetBudgets(std::uint64_t bundle_version,
                   const std::vector<BudgetSetting>& budgets);
 
-  // How many routers share the budgets; bounds the standing shares.
+  // Sets the number of routers that share the budgets; it bounds the standing
+  // shares.
   void SetFleetSize(int routers) { fleet_size_ = routers; }
 
-  // Names the peer that keeps copies of this router's unwritten bills. It
-  // counts as the witness once `recorded_witness` shows it.
+  // Sets the peer that keeps copies of this router's unwritten bills. It is the
+  // witness once `recorded_witness` returns it.
   void SetWitness(const Incarnation& witness);
-  // Whether the witness can be told anything at present.
+  // Sets whether the link to the witness is up.
   void SetWitnessLink(bool up) { witness_link_ = up; }
   const Incarnation& recorded_witness() const { return recorded_witness_; }
 
-  // The revision at which this incarnation registered.
+  // Sets the revision at which this incarnation registered.
   void SetRegistered(std::int64_t revision) { registered_ = revision; }
 
   HoldOutcome Hold(Instant now, const RequestId& request,
                    const BudgetName& budget, Tokens amount);
 
-  // Ends a hold with a bill. `bill.tokens` is cut to the hold. Returns the
-  // sequence number of the batch that will carry the bill; 0 if the bill exists
-  // already and will not be written.
+  // Ends a hold with a bill. `bill.tokens` is capped at the hold. Returns the
+  // sequence number of the batch that will contain the bill, or 0 if the bill
+  // exists already and will not be written.
   std::uint64_t Settle(Instant now, Bill& bill);
 
   // Ends a hold, or a wait for one, without a bill.
   void Release(const RequestId& request, const BudgetName& budget);
 
-  // The next thing to do, if any is due and none is in flight.
+  // The next action, if any is due and none is in flight.
   std::optional<LedgerAction> Next(Instant now);
 
-  // The result of a ReadShards; empty `states` when the service didn't answer.
+  // The result of a ReadShards; `states` is std::nullopt if the service didn't
+  // answer.
   void OnRead(Instant now, std::optional<std::vector<ShardState>> states,
               const std::set<std::string>& existing_markers);
   void OnCommit(Instant now, CommitOutcome outcome, std::int64_t revision);
 
-  // Another router said (`LedgerCommit::need`) that this record should be read.
+  // Another router announced (`LedgerCommit::need`) that this record should be
+  // read.
   void OnNeed(int shard);
-  // The same for all records, when such a message may have been missed.
+  // The same for all records; call it when such a message may have been missed.
   void Refresh();
 
-  // A newer record was seen in some other way.
+  // A record was received by other means than a ReadShards.
   void OnWatched(Instant now, const ShardState& state);
 
-  // Refuses holds that have waited too long.
+  // Refuses holds that have waited for `hold_timeout`.
   void Tick(Instant now);
 
-  // Gives back every idle amount at the next commits and takes none; for a
-  // planned stop. Finished when `Drained`.
+  // Gives back every idle amount in the next commits and takes none; for a
+  // planned stop. Done once `Drained` returns true.
   void StartDrain() { draining_ = true; }
   bool Drained() const;
 
@@ -220,10 +226,10 @@
   const std::map<BudgetName, Account>& accounts() const { return accounts_; }
   bool fenced() const { return fenced_; }
   bool KvReachable() const { return reachable_; }
-  // Every record that the bundle's budgets need has been read once.
+  // Whether every record that the bundle's budgets need has been read once.
   bool Primed() const;
   std::size_t UnwrittenBills() const { return bills_.size(); }
-  // The latest known record of a shard; null before the first read.
+  // The latest known record of a shard; nullptr before the first read.
   const ShardState* CachedShard(int shard) const;
 
  private:
@@ -233,7 +239,7 @@
   Duration Spacing() const;
   ReadShards StartRead();
   bool ReadBeforeCommit(const ShardMap& work);
-  void NoticeNeeds(Instant now, const ShardState& state);
+  void NoteWantedMarks(Instant now, const ShardState& state);
   void MarkAllDirty(Instant now);
   ShardState& Touch(ShardMap& work, int shard);
   void TouchForWitness(ShardMap& work);
@@ -245,19 +251,18 @@
                     const BudgetEntry& entry) const;
   LedgerCommit FinishCommit(Instant now, ShardMap&& work);
   bool ShowsSealed(const ShardState& state) const;
-  void Take(Instant now, const ShardState& state, bool whole);
+  void ProcessRecord(Instant now, const ShardState& state, bool complete);
   bool CoversAttempts(const std::vector<ShardState>& snapshot) const;
   bool AppliedIn(const std::vector<ShardState>& snapshot) const;
   void ResolveSealed();
-  void AdoptRecord(const ShardState& state);
+  void UpdateAccounts(const ShardState& state);
   void CacheIfNewer(const ShardState& state);
-  void DropBilledTwice(const std::set<std::string>& existing_markers);
+  void DropDuplicateBills(const std::set<std::string>& existing_markers);
   void UpdateRecordedWitness();
   void ServeWaiting();
-  void RefuseHopeless(const BudgetName& name, Account& account);
+  void RefuseUncoverable(const BudgetName& name, Account& account);
   void Refuse(Account& account, HoldRefusal refusal);
-  Tokens MostThatCouldBeHad(const BudgetName& name,
-                            const Account& account) const;
+  Tokens MaxObtainable(const BudgetName& name, const Account& account) const;
   const BudgetEntry* CachedEntry(const BudgetName& name) const;
   void FenceIfRemoved();
 
@@ -266,19 +271,20 @@
   std::uint64_t bundle_version_ = 0;
   std::map<BudgetName, BudgetSetting> settings_;
   std::map<BudgetName, Account> accounts_;
-  // Records as last seen, without what an unresolved attempt changed in them.
+  // Records as last seen, without the changes of unresolved attempts.
   std::map<int, ShardState> cache_;
+  // Records to read before the next commit.
   std::set<int> must_read_;
   // Records read since the last commit.
-  std::set<int> fresh_;
-  // Shards to be named in the next commit's `need`.
+  std::set<int> read_since_commit_;
+  // Shards for the next commit's `need`.
   std::set<int> need_;
   Instant last_refresh_{};
-  // Records in which this incarnation has an entry.
+  // Records in which this incarnation has a writer entry.
   std::set<int> joined_;
 
   Phase phase_ = Phase::kIdle;
-  // The sealed batch is the one that is being written.
+  // The sealed batch is being written.
   BillBatches bills_;
   // Budgets whose entry may need a change.
   std::set<BudgetName> dirty_;
@@ -291,10 +297,10 @@
   Instant last_adjust_{};
   bool reachable_ = false;
   int fleet_size_ = 1;
-  // When another router was last seen in need, by budget.
-  std::map<BudgetName, Instant> scarce_at_;
+  // When another router's `wanted` mark was last seen, by budget.
+  std::map<BudgetName, Instant> wanted_seen_at_;
   bool draining_ = false;
-  // Somebody waits for a grant that this router could take or give.
+  // A request, here or at another router, waits for a larger grant.
   bool urgent_ = false;
   bool fenced_ = false;
   std::int64_t registered_ = 0;
--- a/ledger/sync_commit.cc
+++ b/ledger/sync_commit.cc
@@ -1,6 +1,6 @@
-// What the next commit of LedgerSync contains: the sealed bills and the change
-// of each grant, worked into copies of the records. When a commit is due, and
-// what its answer means, is in ledger/sync.cc.
+// Builds the next commit of LedgerSync: applies the sealed bills and the
+// changes of grants to copies of the records. ledger/sync.cc decides when a
+// commit is due and evaluates its answer.
 
 #include <algorithm>
 #include <utility>
@@ -10,8 +10,9 @@
 namespace quaytrack {
 namespace {
 
-// Sum of the first waiting holds, in arrival order, that `room` can take. If
-// even the first is too large it is the answer, so that it is asked for.
+// Sum of the first waiting holds, in arrival order, that fit into `room`. The
+// first always counts, so that its amount is marked as wanted if it is too
+// large.
 Tokens WaitingThatFits(const std::deque<WaitingHold>& waiting, Tokens room) {
   Tokens sum = 0;
   for (const WaitingHold& it : waiting) {
@@ -57,14 +58,15 @@
     const LedgerRecord& record =
         touched != work.end() ? touched->second.record : cache_[shard].record;
     auto it = record.budgets.find(name);
-    const bool known = it != record.budgets.end();
-    const BudgetEntry before = known ? it->second : BudgetEntry();
+    const bool recorded = it != record.budgets.end();
+    const BudgetEntry before = recorded ? it->second : BudgetEntry();
     Tokens returned = 0;
     BudgetEntry after = PlannedEntry(now, setting->second, before, &returned);
-    if (known && after == before) continue;
+    if (recorded && after == before) continue;
     accounts_[name].SetReturning(returned);
-    const bool helps = returned > 0 && before.WantedByOthers(self_) > 0;
-    if (helps || after.wanted != before.wanted) need_.insert(shard);
+    const bool returns_wanted =
+        returned > 0 && before.WantedByOthers(self_) > 0;
+    if (returns_wanted || after.wanted != before.wanted) need_.insert(shard);
     Touch(work, shard).record.budgets[name] = std::move(after);
   }
   dirty_.clear();
@@ -74,7 +76,7 @@
                                      const BudgetEntry& entry,
                                      Tokens* returned) const {
   BudgetEntry out = entry;
-  out.TakeLimit(setting.limit, bundle_version_);
+  out.UpdateLimit(setting.limit, bundle_version_);
   const GrantPlan plan = PlanFor(now, setting, out);
   out.AddGrant(self_, plan.delta);
   if (plan.short_by > 0) {
@@ -98,16 +100,16 @@
   view.remaining = entry.Limit() - entry.settled;
   view.wanted_by_others = entry.WantedByOthers(self_);
   view.routers = fleet_size_;
-  auto scarce = scarce_at_.find(setting.name);
-  view.scarce_lately = scarce != scarce_at_.end() &&
-                       now - scarce->second < options_.scarce_memory;
+  auto scarce = wanted_seen_at_.find(setting.name);
+  view.recently_scarce = scarce != wanted_seen_at_.end() &&
+                         now - scarce->second < options_.scarcity_backoff;
   const Tokens room =
       std::max<Tokens>(view.free, 0) + view.granted - view.in_use;
   view.waiting = WaitingThatFits(account.waiting(), room);
   if (!draining_) return PlanGrant(view, setting.policy);
-  GrantPlan all_back;
-  all_back.delta = -std::max<Tokens>(0, view.granted - view.in_use);
-  return all_back;
+  GrantPlan drain_plan;
+  drain_plan.delta = -std::max<Tokens>(0, view.granted - view.in_use);
+  return drain_plan;
 }
 
 LedgerCommit LedgerSync::FinishCommit(Instant now, ShardMap&& work) {
@@ -119,7 +121,7 @@
     out.shards.push_back(std::move(state));
   }
   out.need = std::exchange(need_, {});
-  fresh_.clear();
+  read_since_commit_.clear();
   phase_ = Phase::kCommitting;
   last_commit_ = now;
   in_flight_ = out;
--- a/ledger/testing/fake_ledger_store.h
+++ b/ledger/testing/fake_ledger_store.h
@@ -1,6 +1,8 @@
-// A stand-in for the key-value service, as far as the ledger sees it, with the
-// failures that matter: an answer that is lost after the write took effect, a
-// write that takes effect long after its sender gave up, and plain refusals.
+// A fake of the key-value service as the ledger uses it, for tests.
+//
+// `Apply` refuses stale commits. A test simulates a lost answer by not
+// reporting the result of `Apply`, and a write that takes effect after its
+// sender gave up by `Delay` and `ApplyDelayed`.
 
 #ifndef QUAYTRACK_LEDGER_TESTING_FAKE_LEDGER_STORE_H_
 #define QUAYTRACK_LEDGER_TESTING_FAKE_LEDGER_STORE_H_
@@ -50,11 +52,12 @@
     return true;
   }
 
-  // Keeps a commit whose sender has given up; `ApplyLate` may apply it.
+  // Keeps a commit whose sender has given up, for `ApplyDelayed`.
   void Delay(const Incarnation& writer, const LedgerCommit& commit) {
     delayed_.push_back({writer, commit});
   }
-  void ApplyLate(std::size_t n) {
+  // Tries to apply one of the delayed commits.
+  void ApplyDelayed(std::size_t n) {
     if (delayed_.empty()) return;
     n %= delayed_.size();
     Apply(delayed_[n].writer, delayed_[n].commit);
@@ -67,7 +70,7 @@
     return it == record.budgets.end() ? BudgetEntry() : it->second;
   }
 
-  // Replaces a record as an operator's command does.
+  // Replaces a record, as an operator's command does.
   void Put(int shard, const LedgerRecord& record) {
     shards_[shard] = {shard, ++revision_, record};
   }
--- a/ledger/testing/late_commit_test.cc
+++ b/ledger/testing/late_commit_test.cc
@@ -1,5 +1,4 @@
-// A commit on two records whose answer is lost, which takes effect later, when
-// only one of its records is read again.
+// Tests LedgerSync with a commit on two records whose answer is lost.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -15,7 +14,7 @@
 using std::chrono::milliseconds;
 
 // A budget whose record isn't that of kBudget.
-BudgetName BudgetElsewhere() {
+BudgetName OtherRecordBudget() {
   for (int n = 0;; ++n) {
     BudgetName out("other-" + std::to_string(n));
     if (ShardOf(out) != ShardOf(kBudget)) return out;
@@ -44,7 +43,7 @@
     ledger.Settle(now, bill);
   }
 
-  // The next action, which is a read of as many records as given.
+  // Performs the next action, which must be a read of `records` records.
   void Read(std::size_t records) {
     const auto action = ledger.Next(now);
     BOOST_REQUIRE(action.has_value());
@@ -55,12 +54,14 @@
   }
 
   const Incarnation self{"vm-1@1"};
-  const BudgetName other = BudgetElsewhere();
+  const BudgetName other = OtherRecordBudget();
   Instant now{std::chrono::hours(1)};
   FakeLedgerStore store;
   LedgerSync ledger{self, {}};
 };
 
+// Guards against spending more than the grant: a commit on two records takes
+// effect late, and then only one of its records is read.
 BOOST_FIXTURE_TEST_CASE(ALateCommitLeavesNoMoreThanTheRecordGrants, Fixture) {
   Spend(kBudget, "p", 10);
   Spend(other, "q", 800);
@@ -70,8 +71,8 @@
   ledger.OnCommit(now, CommitOutcome::kUnknown, 0);
   now += milliseconds(300);
   Read(2);
-  store.ApplyLate(0);
-  // Another router asks for one of the two records to be read.
+  store.ApplyDelayed(0);
+  // Another router announces that one of the two records should be read.
   ledger.OnNeed(ShardOf(kBudget));
   Read(1);
   BOOST_TEST(ledger.accounts().at(other).Available() <=
--- a/ledger/testing/make_bill.h
+++ b/ledger/testing/make_bill.h
@@ -1,4 +1,6 @@
-// Bills for tests of the ledger, and the budgets that they are on.
+// Bills and budgets for tests of the ledger.
+//
+//   const Bill bill = MakeBill("request-1", 250);  // for kBudget
 
 #ifndef QUAYTRACK_LEDGER_TESTING_MAKE_BILL_H_
 #define QUAYTRACK_LEDGER_TESTING_MAKE_BILL_H_
--- a/ledger/testing/recovery_test.cc
+++ b/ledger/testing/recovery_test.cc
@@ -1,3 +1,6 @@
+// Tests that recovery bills what a dead router spent, once, and returns its
+// grants, and that a witness keeps copies until they are obsolete.
+
 #include "ledger/recovery.h"
 
 #include <boost/test/unit_test.hpp>
@@ -35,7 +38,7 @@
 BOOST_FIXTURE_TEST_SUITE(RecoveryTest, Fixture)
 
 BOOST_AUTO_TEST_CASE(WritesMissingBillsAndReturnsTheGrant) {
-  // q2 is in the journal already, q3 only at the witness, q4 ran at an engine.
+  // The journal has q2 already; only the witness has q3; a target reports q4.
   input.copy.bills[RequestId("q2")] = {4, MakeBill("q2", 40)};
   input.copy.bills[RequestId("q3")] = {5, MakeBill("q3", 30)};
   input.asked = {MakeBill("q4", 20), MakeBill("q1", 999)};
@@ -53,7 +56,7 @@
   input.copy.bills[RequestId("q3")] = {5, MakeBill("q3", 30)};
   const auto commit = PlanRecovery(input);
   BOOST_REQUIRE(store.Apply(Incarnation("vm-2@1"), *commit));
-  // The same commit again is stale, and a new plan finds nothing to do.
+  // Applying the commit again fails as stale, and a new plan is empty.
   BOOST_TEST(!store.Apply(Incarnation("vm-2@1"), *commit));
   for (ShardState& it : input.shards) it = store.Read(it.shard);
   BOOST_TEST(!PlanRecovery(input));
@@ -86,7 +89,7 @@
   BOOST_REQUIRE(!ledger.fenced());
   for (ShardState& it : input.shards) it = store.Read(it.shard);
   BOOST_REQUIRE(store.Apply(Incarnation("vm-2@1"), *PlanRecovery(input)));
-  // It wakes and tries to write the bill of a request that it still ran.
+  // The router resumes and tries to write the bill of a request that it ran.
   Bill late = MakeBill("x", 50);
   ledger.Settle(now, late);
   run(now + std::chrono::seconds(5));
@@ -99,10 +102,10 @@
 BOOST_AUTO_TEST_CASE(WitnessKeepsWhatItKnewUntilANewLinkHasCaughtUp) {
   WitnessFeed feed;
   WitnessStore store;
-  const auto deliver = [&](std::size_t most) {
+  const auto deliver = [&](std::size_t max_messages) {
     std::size_t n = 0;
     for (const WitnessMessage& it : feed.TakeOutgoing()) {
-      if (n++ < most) store.OnMessage(kDead, it);
+      if (n++ < max_messages) store.OnMessage(kDead, it);
     }
     return n;
   };
@@ -114,14 +117,14 @@
   deliver(99);
   BOOST_TEST(store.Of(kDead)->intents.size() == 1U);
   BOOST_TEST(store.Of(kDead)->bills.size() == 1U);
-  // The link breaks; the next one dies before it has told anything.
+  // The link closes; the next one closes before it has sent anything.
   feed.OnLinkClosed();
   store.Restart(kDead);
   feed.OnLinkOpen();
   deliver(0);
   BOOST_TEST(store.Of(kDead)->intents.size() == 1U);
   BOOST_TEST(store.Of(kDead)->bills.size() == 1U);
-  // The request ends while there is no link; the next one tells so.
+  // The request ends while no link is open; the next link no longer sends it.
   feed.OnLinkClosed();
   feed.OnRelease(RequestId("run"));
   store.Restart(kDead);
--- a/ledger/testing/sync_property_test.cc
+++ b/ledger/testing/sync_property_test.cc
@@ -1,11 +1,11 @@
-// Property: whatever the service loses, delays or refuses, and however long a
-// router stops between two steps, spending never passes the limit, no account
-// shows more than its record grants, and each bill is stored once. The judge is
-// a book kept by the test, not the ledger's own.
+// Property test of LedgerSync: whatever the service loses, delays or refuses,
+// and however long a router pauses between two steps, spending never exceeds
+// the limit, no account shows more than its record grants, and each bill is
+// stored once. The test tracks spending itself and compares the ledger with it.
 //
-// There are two budgets in two records, so that a commit can be on both and a
-// read or a watch on one of them, before or after the commit takes effect. Some
-// bills have a marker, which another router's bill may have as well.
+// Two budgets are in two records, so that a commit can replace both, and a read
+// or a watch can show one of them, before or after the commit takes effect.
+// Some bills have a marker, which another router's bill may have as well.
 
 #include <rapidcheck.h>
 
@@ -32,11 +32,11 @@
 constexpr Tokens kLimit = 4000;
 constexpr unsigned kRouters = 3;
 constexpr unsigned kBudgets = 2;
-// Few, so that routers meet each other's.
+// Few, so that bills of different routers share markers.
 constexpr unsigned kMarkers = 100;
 
-// What really ran of one budget.
-struct Book {
+// The actual spending of one budget.
+struct ActualUsage {
   Tokens spent = 0;
   Tokens running = 0;
   std::map<std::string, Tokens> bills;
@@ -63,24 +63,25 @@
   std::vector<Running> running;
   std::map<RequestId, Running> waiting;
   std::optional<LedgerAction> unanswered;
-  int minted = 0;
+  int request_count = 0;
 };
 
-class World {
+class Simulation {
  public:
-  World() {
+  Simulation() {
     for (unsigned n = 0; n < kRouters; ++n) {
       nodes_.push_back(std::make_unique<Node>(n, budgets_));
     }
   }
 
-  // One random step; `pick` chooses node, deed and budget, `size` an amount.
+  // One random step; `pick` selects node, operation and budget, `size` an
+  // amount.
   void Step(unsigned pick, unsigned size) {
     now_ += milliseconds(1 + size % 150);
     Node& node = *nodes_[pick % kRouters];
-    const unsigned deed = (pick / kRouters) % 8;
+    const unsigned operation = (pick / kRouters) % 8;
     const BudgetName& budget = budgets_[(pick / (kRouters * 8)) % kBudgets];
-    switch (deed) {
+    switch (operation) {
       case 0:
       case 1:
         Start(node, budget, 1 + size % 500);
@@ -90,20 +91,21 @@
         Finish(node, size);
         break;
       case 4:
-        store_.ApplyLate(size);
+        store_.ApplyDelayed(size);
         break;
       case 5:
         node.ledger.Tick(now_);
-        ShowOne(node, budget, size);
+        DeliverRecord(node, budget, size);
         break;
       default:
         Drive(node, size);
     }
-    Absorb(node);
-    Check();
+    HandleEvents(node);
+    CheckInvariants();
   }
 
-  // Ends everything with a service that answers, and compares the books.
+  // Ends all requests with a service that answers, then compares the ledger
+  // with the tracked spending.
   void Settle() {
     for (int round = 0; round < 60; ++round) {
       now_ += milliseconds(300);
@@ -113,28 +115,28 @@
         if (it->unanswered) Answer(*it, 0);
         Drive(*it, 0);
         if (it->unanswered) Answer(*it, 0);
-        Absorb(*it);
-        Check();
+        HandleEvents(*it);
+        CheckInvariants();
       }
     }
-    std::set<std::string> booked;
+    std::set<std::string> expected_ids;
     for (const BudgetName& name : budgets_) {
       const BudgetEntry entry = store_.Budget(name);
-      RC_ASSERT(entry.settled == books_[name].spent);
+      RC_ASSERT(entry.settled == usage_[name].spent);
       RC_ASSERT(entry.Free() >= 0);
-      for (const auto& [id, n] : books_[name].bills) booked.insert(id);
+      for (const auto& [id, n] : usage_[name].bills) expected_ids.insert(id);
     }
     std::set<std::string> ids;
     for (const Bill& it : store_.bills()) {
       RC_ASSERT(ids.insert(it.bill_id).second);
     }
-    RC_ASSERT(ids == booked);
+    RC_ASSERT(ids == expected_ids);
   }
 
  private:
   void Start(Node& node, const BudgetName& budget, Tokens amount) {
     const RequestId request(node.self.value + "/" +
-                            std::to_string(node.minted++));
+                            std::to_string(node.request_count++));
     const Running it{request, budget, amount};
     const auto outcome = node.ledger.Hold(now_, request, budget, amount);
     if (outcome == HoldOutcome::kHeld) Run(node, it);
@@ -143,15 +145,15 @@
 
   void Run(Node& node, const Running& it) {
     node.running.push_back(it);
-    books_[it.budget].running += it.hold;
+    usage_[it.budget].running += it.hold;
   }
 
   void Finish(Node& node, unsigned size) {
     if (node.running.empty()) return;
     const Running it = node.running.back();
     node.running.pop_back();
-    Book& book = books_[it.budget];
-    book.running -= it.hold;
+    ActualUsage& usage = usage_[it.budget];
+    usage.running -= it.hold;
     if (size % 5 == 4) {
       node.ledger.Release(it.request, it.budget);
       return;
@@ -162,23 +164,24 @@
     bill.request_id = it.request;
     bill.tokens = static_cast<Tokens>(size) % (it.hold + 1);
     if (size % 3 == 1) bill.marker = "key-" + std::to_string(size % kMarkers);
-    book.spent += bill.tokens;
-    book.bills[bill.bill_id] = bill.tokens;
+    usage.spent += bill.tokens;
+    usage.bills[bill.bill_id] = bill.tokens;
     node.ledger.Settle(now_, bill);
   }
 
-  // Another router's request was billed already: its cost is the other's.
-  void Forgive(const RequestId& request) {
-    for (auto& [name, book] : books_) {
-      auto bill = book.bills.find(request.value);
-      if (bill == book.bills.end()) continue;
-      book.spent -= bill->second;
-      book.bills.erase(bill);
+  // Removes a bill that was dropped because another request's bill has its
+  // marker.
+  void RemoveBill(const RequestId& request) {
+    for (auto& [name, usage] : usage_) {
+      auto bill = usage.bills.find(request.value);
+      if (bill == usage.bills.end()) continue;
+      usage.spent -= bill->second;
+      usage.bills.erase(bill);
     }
   }
 
-  // The node sees one record, or is told to read it.
-  void ShowOne(Node& node, const BudgetName& budget, unsigned size) {
+  // The node receives one record by a watch, or a `need` message for it.
+  void DeliverRecord(Node& node, const BudgetName& budget, unsigned size) {
     const int shard = ShardOf(budget);
     if (size % 2 == 0) {
       node.ledger.OnWatched(now_, store_.Read(shard));
@@ -187,7 +190,7 @@
     }
   }
 
-  // Takes the next action, or answers the one that is open.
+  // Takes the next action, or answers the unanswered one.
   void Drive(Node& node, unsigned size) {
     if (node.unanswered) {
       Answer(node, size);
@@ -198,9 +201,9 @@
 
   void Answer(Node& node, unsigned size) {
     const LedgerAction action = *std::exchange(node.unanswered, std::nullopt);
-    const unsigned fate = size % 8;
+    const unsigned fault = size % 8;
     if (auto* read = std::get_if<ReadShards>(&action)) {
-      if (fate == 7) {
+      if (fault == 7) {
         node.ledger.OnRead(now_, std::nullopt, {});
       } else {
         node.ledger.OnRead(now_, store_.Read(read->shards), store_.markers());
@@ -208,11 +211,11 @@
       return;
     }
     const LedgerCommit& commit = std::get<LedgerCommit>(action);
-    if (fate == 5 || fate == 6) {
+    if (fault == 5 || fault == 6) {
       store_.Delay(node.self, commit);
-    } else if (fate != 7) {
+    } else if (fault != 7) {
       const bool ok = store_.Apply(node.self, commit);
-      if (fate != 4) {
+      if (fault != 4) {
         node.ledger.OnCommit(
             now_, ok ? CommitOutcome::kApplied : CommitOutcome::kRejected,
             store_.revision());
@@ -222,10 +225,10 @@
     node.ledger.OnCommit(now_, CommitOutcome::kUnknown, 0);
   }
 
-  void Absorb(Node& node) {
+  void HandleEvents(Node& node) {
     for (const LedgerEvent& it : node.ledger.TakeEvents()) {
       RC_ASSERT(it.kind != LedgerEventKind::kFenced);
-      if (it.kind == LedgerEventKind::kBillDropped) Forgive(it.request);
+      if (it.kind == LedgerEventKind::kBillDropped) RemoveBill(it.request);
       auto waiting = node.waiting.find(it.request);
       if (waiting == node.waiting.end()) continue;
       if (it.kind == LedgerEventKind::kHoldGranted) Run(node, waiting->second);
@@ -233,13 +236,13 @@
     }
   }
 
-  void Check() {
+  void CheckInvariants() {
     for (const BudgetName& name : budgets_) {
-      const Book& book = books_[name];
-      RC_ASSERT(book.spent + book.running <= kLimit);
+      const ActualUsage& usage = usage_[name];
+      RC_ASSERT(usage.spent + usage.running <= kLimit);
       const BudgetEntry entry = store_.Budget(name);
       RC_ASSERT(entry.settled + entry.Outstanding() <= kLimit);
-      for (const auto& [who, n] : entry.grants) RC_ASSERT(n >= 0);
+      for (const auto& [router, n] : entry.grants) RC_ASSERT(n >= 0);
       for (const auto& it : nodes_) {
         const Account& account = it->ledger.accounts().at(name);
         RC_ASSERT(account.Available() >= 0);
@@ -254,19 +257,19 @@
   Instant now_{std::chrono::hours(1)};
   FakeLedgerStore store_;
   std::vector<std::unique_ptr<Node>> nodes_;
-  std::map<BudgetName, Book> books_;
+  std::map<BudgetName, ActualUsage> usage_;
 };
 
 BOOST_AUTO_TEST_CASE(SpendingNeverPassesTheLimitAndBillsAreStoredOnce) {
   const bool ok = rc::check([] {
-    World world;
+    Simulation simulation;
     const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
         600, rc::gen::pair(rc::gen::inRange(0, 24 * 8),
                            rc::gen::inRange(0, 100000)));
     for (const auto& [pick, size] : steps) {
-      world.Step(static_cast<unsigned>(pick), static_cast<unsigned>(size));
+      simulation.Step(static_cast<unsigned>(pick), static_cast<unsigned>(size));
     }
-    world.Settle();
+    simulation.Settle();
   });
   BOOST_TEST(ok);
 }
--- a/ledger/testing/sync_test.cc
+++ b/ledger/testing/sync_test.cc
@@ -1,3 +1,6 @@
+// Tests LedgerSync: local spending, grants moved between routers, lost answers,
+// duplicate bills, fencing, draining and lowered limits.
+
 #include "ledger/sync.h"
 
 #include <algorithm>
@@ -13,14 +16,14 @@
 
 using std::chrono::milliseconds;
 
-// One router with a store that answers at once.
+// One router with a store that answers immediately.
 struct Router {
   Router(const std::string& name, FakeLedgerStore& s, Tokens limit)
       : self(name), store(s), ledger(self, {}) {
     ledger.SetBudgets(1, {{kBudget, limit, {std::chrono::seconds(10), 32}}});
   }
 
-  // Runs a request that holds and costs `cost`.
+  // Runs a request whose hold and cost are both `cost`.
   void Spend(Instant now, const BudgetName& budget, const char* request,
              Tokens cost, const std::string& marker = "") {
     ledger.Hold(now, RequestId(request), budget, cost);
@@ -29,7 +32,8 @@
     ledger.Settle(now, bill);
   }
 
-  // Sends the commit that is due; it takes effect late and its answer is lost.
+  // Takes the due commit; its answer is lost and it takes effect only with
+  // `ApplyDelayed`.
   void CommitLate(Instant now) {
     const auto action = ledger.Next(now);
     BOOST_REQUIRE(action.has_value());
@@ -37,7 +41,7 @@
     ledger.OnCommit(now, CommitOutcome::kUnknown, 0);
   }
 
-  // The read that is due, which asks for as many records as given.
+  // Performs the due read, which must be of `records` records.
   void Read(Instant now, std::size_t records) {
     const auto action = ledger.Next(now);
     BOOST_REQUIRE(action.has_value());
@@ -46,7 +50,7 @@
     ledger.OnRead(now, store.Read(read.shards), store.markers());
   }
 
-  // Drives the cycle until nothing is due at `now`.
+  // Performs actions until none is due at `now`.
   void Run(Instant now) {
     while (auto action = ledger.Next(now)) {
       if (auto* read = std::get_if<ReadShards>(&*action)) {
@@ -128,7 +132,7 @@
   Pass(milliseconds(200));
   a.Run(now);
   a.ledger.Release(RequestId("warm"), kBudget);
-  // `a` sits on 900 or more; `b` needs 800.
+  // The grant of `a` is 900 or more; `b` needs 800.
   b.Run(now);
   b.ledger.Hold(now, RequestId("q"), kBudget, 800);
   Pass(milliseconds(200));
@@ -147,7 +151,8 @@
   BOOST_TEST(store.Budget(kBudget).wanted.empty());
 }
 
-// Without any watch: the message alone makes the others read and give back.
+// Without any watch, the `need` message alone makes other routers read a record
+// and give back idle grants.
 BOOST_AUTO_TEST_CASE(NeedMakesOthersReadAndGiveBack) {
   Router a("vm-1@1", store, 1000);
   Router b("vm-2@1", store, 1000);
@@ -176,7 +181,7 @@
   BOOST_TEST(granted);
 }
 
-// A top-up, or anything else, is seen without a message too, if later.
+// A top-up without a `need` message is seen at the next periodic read.
 BOOST_AUTO_TEST_CASE(RecordsAreReadNowAndThenUnasked) {
   Router r("vm-1@1", store, 1000);
   r.Run(now);
@@ -209,8 +214,9 @@
   BOOST_TEST(r.ledger.UnwrittenBills() == 0U);
 }
 
-// Found by the property test: the watch moved the cached revision past a late
-// attempt, and the next attempt stored the same bills again.
+// Guards against storing bills twice: a watch moved the cached revision past an
+// attempt that was applied late, so the next attempt wrote the same bills
+// again.
 BOOST_AUTO_TEST_CASE(LateAttemptSeenByTheWatchIsNotWrittenAgain) {
   Router r("vm-1@1", store, 32000);
   r.Run(now);
@@ -226,7 +232,7 @@
   action = r.ledger.Next(now);
   const auto& read = std::get<ReadShards>(*action);
   r.ledger.OnRead(now, store.Read(read.shards), {});
-  store.ApplyLate(0);
+  store.ApplyDelayed(0);
   r.ledger.OnWatched(now, store.Read(ShardOf(kBudget)));
   Pass(milliseconds(500));
   r.Run(now);
@@ -234,7 +240,7 @@
   BOOST_TEST(store.Budget(kBudget).settled == 250);
 }
 
-// Two records, and commits that take effect late.
+// One router with two budgets in two records.
 struct TwoRecords : Fixture {
   TwoRecords() {
     SetBoth(1, 32000);
@@ -248,7 +254,7 @@
                         {{kBudget, limit, policy}, {other, limit, policy}});
   }
 
-  bool Happened(LedgerEventKind kind) {
+  bool HasEvent(LedgerEventKind kind) {
     for (auto& it : r.ledger.TakeEvents()) r.events.push_back(it);
     return std::any_of(r.events.begin(), r.events.end(),
                        [&](const auto& it) { return it.kind == kind; });
@@ -258,6 +264,8 @@
   Router r{"vm-1@1", store, 32000};
 };
 
+// Guards against dropping a router's bill as a duplicate: a commit takes effect
+// late, and a read of another record finds the marker that the commit created.
 BOOST_FIXTURE_TEST_CASE(AMarkerOfALateCommitIsNotAnotherRoutersBill,
                         TwoRecords) {
   r.Spend(now, kBudget, "p", 300, "clinic/key-1");
@@ -265,10 +273,10 @@
   r.CommitLate(now);
   Pass(milliseconds(300));
   r.Read(now, 1);
-  store.ApplyLate(0);
+  store.ApplyDelayed(0);
   r.ledger.OnNeed(ShardOf(other));
   r.Read(now, 1);
-  BOOST_TEST(!Happened(LedgerEventKind::kBillDropped));
+  BOOST_TEST(!HasEvent(LedgerEventKind::kBillDropped));
   BOOST_TEST(r.ledger.accounts().at(kBudget).Available() <=
              store.Budget(kBudget).GrantOf(r.self));
   Pass(milliseconds(200));
@@ -277,13 +285,16 @@
   BOOST_TEST(r.ledger.UnwrittenBills() == 0U);
 }
 
+// Guards against false fencing: of two attempts the first, on fewer records, is
+// applied, and then the router has no entry in the second attempt's other
+// record.
 BOOST_FIXTURE_TEST_CASE(ALateCommitJoinsOnlyTheRecordsThatItWrote, Fixture) {
   Router r("vm-1@1", store, 32000);
-  // The first read, and the one that is due regularly.
+  // The first read, and the periodic one.
   r.Read(now, 1);
   r.Read(now, 1);
   r.CommitLate(now);
-  // The attempt after it is on another record as well.
+  // The next attempt replaces another record as well.
   const BudgetPolicy policy{std::chrono::seconds(10), 32};
   r.ledger.SetBudgets(
       2, {{kBudget, 32000, policy}, {BudgetInAnotherRecord(), 32000, policy}});
@@ -291,11 +302,12 @@
   r.Read(now, 2);
   const auto second = r.ledger.Next(now);
   BOOST_REQUIRE(std::get<LedgerCommit>(*second).shards.size() == 2U);
-  store.ApplyLate(0);
+  store.ApplyDelayed(0);
   BOOST_REQUIRE(!store.Apply(r.self, std::get<LedgerCommit>(*second)));
   r.ledger.OnCommit(now, CommitOutcome::kRejected, store.revision());
   r.Read(now, 2);
-  // The commit that would join the other record isn't there at the next read.
+  // The commit that adds an entry to the other record isn't applied before the
+  // next read.
   Pass(milliseconds(200));
   r.CommitLate(now);
   Pass(milliseconds(300));
@@ -305,11 +317,13 @@
   BOOST_TEST(store.Budget(BudgetInAnotherRecord()).GrantOf(r.self) > 0);
 }
 
+// Guards against a wrong refusal: a commit takes effect late, a read of one of
+// its records shows a cost as settled, and the cost also counted as unwritten.
 BOOST_FIXTURE_TEST_CASE(ACostInAHalfKnownCommitCountsOnce, TwoRecords) {
   SetBoth(2, 1000);
   Pass(milliseconds(1100));
   r.Run(now);
-  // Of 1,000 tokens 400 are spent, and 500 are asked for.
+  // Of 1,000 tokens 400 are spent, and a hold of 500 is requested.
   r.ledger.Hold(now, RequestId("warm"), kBudget, 400);
   Pass(milliseconds(200));
   r.Run(now);
@@ -320,15 +334,15 @@
   r.CommitLate(now);
   Pass(milliseconds(300));
   r.Read(now, 2);
-  store.ApplyLate(0);
+  store.ApplyDelayed(0);
   const auto outcome = r.ledger.Hold(now, RequestId("p"), kBudget, 500);
   BOOST_REQUIRE((outcome == HoldOutcome::kWaiting));
   r.ledger.OnNeed(ShardOf(kBudget));
   r.Read(now, 1);
-  BOOST_TEST(!Happened(LedgerEventKind::kHoldRefused));
+  BOOST_TEST(!HasEvent(LedgerEventKind::kHoldRefused));
   Pass(milliseconds(200));
   r.Run(now);
-  BOOST_TEST(Happened(LedgerEventKind::kHoldGranted));
+  BOOST_TEST(HasEvent(LedgerEventKind::kHoldGranted));
 }
 
 BOOST_AUTO_TEST_CASE(SameKeyAtTwoRoutersIsBilledOnce) {
@@ -361,8 +375,9 @@
     return seq;
   };
   BOOST_TEST(settle("p") != 0U);
-  // The first bill waits here; then it is stored, and the store tells. Each
-  // time the marker is given up with the bill that had it.
+  // "q" is refused because the first bill is unwritten. Once that is stored,
+  // the store reports later duplicates, and a dropped bill frees its marker
+  // here.
   BOOST_TEST(settle("q") == 0U);
   for (const char* it : {"s", "t"}) {
     Pass(milliseconds(200));
@@ -464,8 +479,9 @@
   BOOST_TEST((outcome == HoldOutcome::kExhausted));
 }
 
-// Found by measuring 32 routers: standing shares of an eighth each left nothing
-// free, so that every need called grants back, which were then taken again.
+// Guards against contention for grants: with 32 routers, standing shares of an
+// eighth each left nothing free, so every need reclaimed grants, which were
+// then taken again.
 BOOST_AUTO_TEST_CASE(ManyRoutersDoNotFightOverStandingShares) {
   constexpr int kRouters = 32;
   constexpr int kSeconds = 20;
@@ -504,7 +520,7 @@
     }
     step();
   }
-  // One write a second each, and a little for grants.
+  // One write per second for each router, and some for grants.
   BOOST_TEST(store.writes() - before < kRouters * kSeconds * 3 / 2);
   BOOST_TEST(refused == 0);
 }
--- a/ledger/witness.cc
+++ b/ledger/witness.cc
@@ -78,44 +78,44 @@
 }
 
 void WitnessStore::Restart(const Incarnation& owner) {
-  Held& held = held_[owner];
-  // A link that never caught up adds to what the one before it knew.
-  held.now.intents.merge(held.before.intents);
-  held.now.bills.merge(held.before.bills);
-  held.before = std::exchange(held.now, {});
+  OwnerCopies& held = copies_[owner];
+  // A link that never caught up adds to the copies from the one before it.
+  held.current.intents.merge(held.previous.intents);
+  held.current.bills.merge(held.previous.bills);
+  held.previous = std::exchange(held.current, {});
 }
 
 void WitnessStore::OnMessage(const Incarnation& owner,
                              const WitnessMessage& message) {
-  Held& held = held_[owner];
-  WitnessCopy& copy = held.now;
+  OwnerCopies& held = copies_[owner];
+  WitnessCopy& copy = held.current;
   std::visit(Overloaded{[&](const IntentMessage& it) {
                           copy.intents[it.intent.worst_case.request_id] =
                               it.intent;
                         },
                         [&](const BillMessage& it) {
                           copy.intents.erase(it.bill.request_id);
-                          held.before.intents.erase(it.bill.request_id);
+                          held.previous.intents.erase(it.bill.request_id);
                           copy.bills[it.bill.request_id] = it;
                         },
                         [&](const ReleaseMessage& it) {
                           copy.intents.erase(it.request);
-                          held.before.intents.erase(it.request);
+                          held.previous.intents.erase(it.request);
                         },
                         [&](const WrittenMessage& it) {
                           std::erase_if(copy.bills, [&](const auto& bill) {
                             return bill.second.seq <= it.seq;
                           });
                         },
-                        [&](const CaughtUpMessage&) { held.before = {}; }},
+                        [&](const CaughtUpMessage&) { held.previous = {}; }},
              message);
 }
 
 std::optional<WitnessCopy> WitnessStore::Of(const Incarnation& owner) const {
-  auto it = held_.find(owner);
-  if (it == held_.end()) return std::nullopt;
-  WitnessCopy out = it->second.now;
-  WitnessCopy before = it->second.before;
+  auto it = copies_.find(owner);
+  if (it == copies_.end()) return std::nullopt;
+  WitnessCopy out = it->second.current;
+  WitnessCopy before = it->second.previous;
   out.intents.merge(before.intents);
   out.bills.merge(before.bills);
   return out;
--- a/ledger/witness.h
+++ b/ledger/witness.h
@@ -1,18 +1,19 @@
-// Copies of unwritten bills at a peer, so that a router may die without taking
-// them along.
+// Keeps copies of unwritten bills at a peer, so that they survive the router's
+// death.
 //
 // Writing each bill to the key-value service before its answer ends would cost
-// a write a request. So each router names one peer in another hall as its
-// witness, and tells it what it sends to targets (an intent), what that cost (a
-// bill), and what has reached the service (written). An answer's end waits only
-// for the witness's acknowledgement. This is the primary/backup scheme of
-// Alsberg and Day (1976) for the few seconds between two ledger writes.
+// a write per request. So each router chooses one peer as its witness, in
+// another hall if there is one, and sends it each request that goes to a target
+// (an intent), its cost (a bill), and which bills are stored in the service
+// (written). The end of an answer waits only for the witness's acknowledgement.
+// This is the primary/backup scheme of Alsberg and Day (1976) for the few
+// seconds between two ledger writes.
 //
-// The witness acts on its copies only after proof that the owner is dead
+// The witness uses its copies only after proof that the owner is dead
 // (ledger/recovery.h), and only if the owner's ledger entry names it.
 //
-//   WitnessFeed   the owner's side: what to tell, and what was acknowledged;
-//   WitnessStore  the witness's side: what it was told.
+//   WitnessFeed   the owner's side: what to send, and what was acknowledged;
+//   WitnessStore  the witness's side: what it received from each owner.
 
 #ifndef QUAYTRACK_LEDGER_WITNESS_H_
 #define QUAYTRACK_LEDGER_WITNESS_H_
@@ -30,11 +31,11 @@
 
 namespace quaytrack {
 
-// A request that was handed to a target and has no bill yet.
+// A request that was sent to a target and has no bill yet.
 struct Intent {
-  // What the bill would say; `tokens` is the worst case.
+  // The bill with the worst-case cost in `tokens`.
   Bill worst_case;
-  // Where to ask what ran; empty if the target can't be asked.
+  // Where to query what ran; empty if the target can't be queried.
   std::string target_address;
   Tokens price_prompt = 0;
   Tokens price_output = 0;
@@ -58,14 +59,14 @@
   std::uint64_t seq = 0;
 };
 
-// Everything that was open when the link opened has been told; what the witness
-// knew from an earlier link is out of date.
+// Everything that was open when the link opened has been sent; what the witness
+// received on earlier links is obsolete.
 struct CaughtUpMessage {};
 
 using WitnessMessage = std::variant<IntentMessage, BillMessage, ReleaseMessage,
                                     WrittenMessage, CaughtUpMessage>;
 
-// What to send, and when a bill counts as copied.
+// Decides what to send to the witness, and when a bill counts as copied.
 class WitnessFeed {
  public:
   void OnIntent(const Intent& intent);
@@ -73,19 +74,19 @@
   void OnRelease(const RequestId& request);
   void OnWritten(std::uint64_t seq);
 
-  // A link to a witness has opened: everything open is told again.
+  // A link to a witness has opened: all open intents and bills are sent again.
   void OnLinkOpen();
   void OnLinkClosed();
 
-  // Messages to send now, in order. Each counts one towards the number that the
-  // witness acknowledges.
+  // Messages to send now, in order. The witness acknowledges the number of
+  // messages that it has stored.
   std::vector<WitnessMessage> TakeOutgoing();
 
   // The witness has stored the first `n` messages of this link. Returns the
   // requests whose bills are now copied.
   std::vector<RequestId> OnAck(std::uint64_t n);
 
-  // Everything that was open when the link opened has been acknowledged.
+  // Whether everything that was open when the link opened is acknowledged.
   bool CaughtUp() const { return open_ && acked_ >= catch_up_; }
 
  private:
@@ -106,7 +107,7 @@
   std::deque<std::pair<std::uint64_t, RequestId>> unacked_;
 };
 
-// What a witness holds of one owner.
+// A witness's copies of one owner's intents and bills.
 struct WitnessCopy {
   std::map<RequestId, Intent> intents;
   std::map<RequestId, BillMessage> bills;
@@ -114,23 +115,23 @@
 
 class WitnessStore {
  public:
-  // The owner opened a new link and will tell everything again. What is known
-  // from the last link stays until it has.
+  // The owner opened a new link and will send everything again. Copies from the
+  // last link are kept until then.
   void Restart(const Incarnation& owner);
   void OnMessage(const Incarnation& owner, const WitnessMessage& message);
 
-  // Everything known of an owner; empty if nothing is.
+  // All copies of an owner's intents and bills; std::nullopt if there are none.
   std::optional<WitnessCopy> Of(const Incarnation& owner) const;
-  void Forget(const Incarnation& owner) { held_.erase(owner); }
-  std::size_t owners() const { return held_.size(); }
+  void Forget(const Incarnation& owner) { copies_.erase(owner); }
+  std::size_t owners() const { return copies_.size(); }
 
  private:
-  struct Held {
-    WitnessCopy now;
-    // From before the present link, until it has caught up.
-    WitnessCopy before;
+  struct OwnerCopies {
+    WitnessCopy current;
+    // From earlier links, until the present one has caught up.
+    WitnessCopy previous;
   };
-  std::map<Incarnation, Held> held_;
+  std::map<Incarnation, OwnerCopies> copies_;
 };
 
 }  // namespace quaytrack
