--- a/claim/claim.cc
+++ b/claim/claim.cc
@@ -69,14 +69,14 @@
 ClaimAnswer ClaimBook::Begin(Instant now, const ClaimKey& key,
                              const std::string& digest,
                              const RequestId& request, std::int64_t wall_ms) {
-  auto known = known_.find(key);
-  if (known != known_.end()) return AnswerFrom(known->second, digest);
-  auto it = locals_.find(key);
-  if (it != locals_.end()) {
-    Local& local = it->second;
-    const bool ending = local.entry.state != ClaimState::kClaimed ||
-                        local.machine.state() == ClaimPhase::kWithdrawing;
-    if (ending || local.entry.digest != digest) {
+  auto resolved = resolved_.find(key);
+  if (resolved != resolved_.end()) return AnswerFrom(resolved->second, digest);
+  auto it = local_claims_.find(key);
+  if (it != local_claims_.end()) {
+    LocalClaim& local = it->second;
+    const bool ended = local.entry.state != ClaimState::kClaimed ||
+                       local.machine.state() == ClaimPhase::kWithdrawing;
+    if (ended || local.entry.digest != digest) {
       return AnswerFrom(local.entry, digest);
     }
     local.joined.push_back(request);
@@ -90,14 +90,14 @@
   entry.digest = digest;
   entry.at_ms = wall_ms;
   Enqueue(now, {ClaimWriteKind::kCreate, key, entry, 0});
-  locals_.emplace(key, Local(chart_, std::move(entry)));
+  local_claims_.emplace(key, LocalClaim(chart_, std::move(entry)));
   return {ClaimAnswerKind::kWait, {}};
 }
 
 void ClaimBook::Abandon(Instant now, const ClaimKey& key,
                         const RequestId& request) {
-  auto it = locals_.find(key);
-  if (it == locals_.end()) return;
+  auto it = local_claims_.find(key);
+  if (it == local_claims_.end()) return;
   if (it->second.entry.request == request) {
     Apply(now, key, ClaimStep::kAbandoned);
   } else {
@@ -106,50 +106,50 @@
 }
 
 void ClaimBook::Done(Instant now, const ClaimKey& key, KeptAnswer answer) {
-  auto it = locals_.find(key);
-  if (it == locals_.end()) return;
+  auto it = local_claims_.find(key);
+  if (it == local_claims_.end()) return;
   it->second.entry.state = ClaimState::kDone;
   it->second.entry.answer = std::move(answer);
   Apply(now, key, ClaimStep::kRan);
 }
 
 void ClaimBook::Lost(Instant now, const ClaimKey& key) {
-  auto it = locals_.find(key);
-  if (it == locals_.end()) return;
+  auto it = local_claims_.find(key);
+  if (it == local_claims_.end()) return;
   it->second.entry.state = ClaimState::kUnknown;
   Apply(now, key, ClaimStep::kLost);
 }
 
 void ClaimBook::Apply(Instant now, const ClaimKey& key, ClaimStep step) {
-  auto it = locals_.find(key);
-  if (it == locals_.end()) return;
-  Do(now, key, it->second, it->second.machine.Apply(step));
+  auto it = local_claims_.find(key);
+  if (it == local_claims_.end()) return;
+  PerformAction(now, key, it->second, it->second.machine.Apply(step));
 }
 
-void ClaimBook::Do(Instant now, const ClaimKey& key, Local& local,
-                   ClaimDeed deed) {
-  switch (deed) {
-    case ClaimDeed::kNone:
+void ClaimBook::PerformAction(Instant now, const ClaimKey& key,
+                              LocalClaim& local, ClaimAction action) {
+  switch (action) {
+    case ClaimAction::kNone:
       return;
-    case ClaimDeed::kTellOwner:
+    case ClaimAction::kNotifyOwner:
       events_.push_back({ClaimEventKind::kClaimed, local.entry.request, {}});
       return;
-    case ClaimDeed::kTellTaken:
+    case ClaimAction::kNotifyTaken:
       events_.push_back({ClaimEventKind::kResolved, local.entry.request,
-                         AnswerFrom(known_[key], local.entry.digest)});
+                         AnswerFrom(resolved_[key], local.entry.digest)});
       return;
-    case ClaimDeed::kStore:
+    case ClaimAction::kStore:
       Enqueue(now,
               {ClaimWriteKind::kReplace, key, local.entry, local.revision});
-      return TellJoined(local);
-    case ClaimDeed::kDelete:
+      return NotifyJoined(local);
+    case ClaimAction::kDelete:
       Enqueue(now, {ClaimWriteKind::kDelete, key, local.entry, local.revision});
-      // Whoever joined may try again by itself.
-      return TellJoined(local);
+      // The requests that joined may try again.
+      return NotifyJoined(local);
   }
 }
 
-void ClaimBook::TellJoined(Local& local) {
+void ClaimBook::NotifyJoined(LocalClaim& local) {
   const ClaimAnswer answer = AnswerFrom(local.entry, local.entry.digest);
   for (const RequestId& it : local.joined) {
     events_.push_back({ClaimEventKind::kResolved, it, answer});
@@ -168,17 +168,18 @@
   }
   ClaimCommit out;
   std::set<ClaimKey> keys;
-  std::deque<ClaimWrite> rest;
-  // One write a key in a transaction; a key's writes keep their order.
+  std::deque<ClaimWrite> remaining;
+  // A transaction has at most one write of a key; a key's writes keep their
+  // order.
   for (ClaimWrite& it : queue_) {
     const bool fits = out.writes.size() < options_.max_group;
     if (fits && keys.insert(it.key).second) {
       out.writes.push_back(std::move(it));
     } else {
-      rest.push_back(std::move(it));
+      remaining.push_back(std::move(it));
     }
   }
-  queue_ = std::move(rest);
+  queue_ = std::move(remaining);
   in_flight_ = out.writes;
   return out;
 }
@@ -195,18 +196,18 @@
   }
   for (std::size_t n = 0; n < writes.size(); ++n) {
     if (outcome == ClaimOutcome::kRejected) {
-      OnPresent(now, writes[n], found[n]);
+      ResolveRejected(now, writes[n], found[n]);
     } else {
       OnWritten(now, writes[n], revision);
     }
   }
 }
 
-// One write of a rejected group, and what the service holds under its key. The
-// rejection may have been another write's fault, or an earlier attempt of this
-// one may have been applied.
-void ClaimBook::OnPresent(Instant now, const ClaimWrite& write,
-                          const FoundClaim& found) {
+// Resolves one write of a rejected group from the present value of its key.
+// Another write may have caused the rejection, or an earlier attempt of this
+// write may have been applied.
+void ClaimBook::ResolveRejected(Instant now, const ClaimWrite& write,
+                                const FoundClaim& found) {
   if (write.kind != ClaimWriteKind::kCreate) {
     const bool untouched = found.exists && found.revision == write.revision;
     if (!untouched) return OnWritten(now, write, found.revision);
@@ -218,16 +219,16 @@
   } else if (found.entry.request == write.entry.request) {
     OnWritten(now, write, found.revision);
   } else {
-    auto it = locals_.find(write.key);
-    known_[write.key] = found.entry;
+    auto it = local_claims_.find(write.key);
+    resolved_[write.key] = found.entry;
     Apply(now, write.key, ClaimStep::kTaken);
     for (const RequestId& request : it->second.joined) {
       events_.push_back({ClaimEventKind::kResolved, request,
                          AnswerFrom(found.entry, it->second.entry.digest)});
     }
-    locals_.erase(it);
-    // A claim that is still running elsewhere must be looked up each time.
-    known_.erase(write.key);
+    local_claims_.erase(it);
+    // A call that may still run at another router must be looked up each time.
+    resolved_.erase(write.key);
     if (found.entry.state != ClaimState::kClaimed) {
       Remember(write.key, found.entry);
     }
@@ -236,9 +237,9 @@
 
 void ClaimBook::OnWritten(Instant now, const ClaimWrite& write,
                           std::int64_t revision) {
-  auto it = locals_.find(write.key);
-  if (it == locals_.end()) return;
-  Local& local = it->second;
+  auto it = local_claims_.find(write.key);
+  if (it == local_claims_.end()) return;
+  LocalClaim& local = it->second;
   local.revision = revision;
   if (write.kind == ClaimWriteKind::kCreate) {
     return Apply(now, write.key, ClaimStep::kCreated);
@@ -248,15 +249,15 @@
     events_.push_back({ClaimEventKind::kStored, local.entry.request, {}});
     Remember(write.key, local.entry);
   }
-  locals_.erase(it);
+  local_claims_.erase(it);
 }
 
 void ClaimBook::Remember(const ClaimKey& key, const ClaimEntry& entry) {
-  known_[key] = entry;
-  remembered_.push_back(key);
-  if (remembered_.size() <= options_.remembered) return;
-  known_.erase(remembered_.front());
-  remembered_.pop_front();
+  resolved_[key] = entry;
+  resolved_order_.push_back(key);
+  if (resolved_order_.size() <= options_.max_resolved) return;
+  resolved_.erase(resolved_order_.front());
+  resolved_order_.pop_front();
 }
 
 std::vector<ClaimEvent> ClaimBook::TakeEvents() {
--- a/claim/claim_chart.h
+++ b/claim/claim_chart.h
@@ -1,10 +1,10 @@
-// The life of one claim at the router that made it: chart/charts/claim.json.
+// State machine of one claim at its router, from chart/charts/claim.json.
 //
 //   BOOST_LEAF_AUTO(chart, BindClaimChart());
-//   ChartMachine<ClaimPhase, ClaimStep, ClaimDeed> machine(chart);
+//   ChartMachine<ClaimPhase, ClaimStep, ClaimAction> machine(chart);
 //
-// claim/claim.h does what the arrows say. The chart keeps the promise that a
-// call is sent only while its claim is stored and owned.
+// claim/claim.h performs the actions of the transitions. The chart guarantees
+// that a call is sent only while its claim is stored and owned.
 
 #ifndef QUAYTRACK_CLAIM_CLAIM_CHART_H_
 #define QUAYTRACK_CLAIM_CLAIM_CHART_H_
@@ -15,16 +15,18 @@
 
 namespace quaytrack {
 
+// States of the chart.
 enum class ClaimPhase {
   kWriting,      // its creation is not resolved
-  kAbandoned,    // the same, and nobody wants it any more
+  kAbandoned,    // the same, and the request has ended
   kOwned,        // stored: the call may be sent
   kStoring,      // the call's end is being written
   kWithdrawing,  // its deletion is being written
-  kStored,
-  kGone,
+  kStored,       // the call's end is stored
+  kGone,         // deleted, or claimed by another request
 };
 
+// Events of the chart.
 enum class ClaimStep {
   kCreated,
   kTaken,
@@ -34,7 +36,8 @@
   kWritten,
 };
 
-enum class ClaimDeed { kNone, kTellOwner, kTellTaken, kStore, kDelete };
+// Actions of the chart.
+enum class ClaimAction { kNone, kNotifyOwner, kNotifyTaken, kStore, kDelete };
 
 template <>
 struct EnumTable<ClaimPhase> {
@@ -60,19 +63,19 @@
 };
 
 template <>
-struct EnumTable<ClaimDeed> {
-  static constexpr auto kEntries = std::to_array<EnumEntry<ClaimDeed>>(
-      {{ClaimDeed::kNone, "none"},
-       {ClaimDeed::kTellOwner, "tell_owner"},
-       {ClaimDeed::kTellTaken, "tell_taken"},
-       {ClaimDeed::kStore, "store"},
-       {ClaimDeed::kDelete, "delete"}});
+struct EnumTable<ClaimAction> {
+  static constexpr auto kEntries = std::to_array<EnumEntry<ClaimAction>>(
+      {{ClaimAction::kNone, "none"},
+       {ClaimAction::kNotifyOwner, "tell_owner"},
+       {ClaimAction::kNotifyTaken, "tell_taken"},
+       {ClaimAction::kStore, "store"},
+       {ClaimAction::kDelete, "delete"}});
 };
 
-using ClaimChart = Chart<ClaimPhase, ClaimStep, ClaimDeed>;
+using ClaimChart = Chart<ClaimPhase, ClaimStep, ClaimAction>;
 
 inline boost::leaf::result<ClaimChart> BindClaimChart() {
-  return BindChart<ClaimPhase, ClaimStep, ClaimDeed>(kClaimChart);
+  return BindChart<ClaimPhase, ClaimStep, ClaimAction>(kClaimChart);
 }
 
 }  // namespace quaytrack
--- a/claim/testing/claim_property_test.cc
+++ b/claim/testing/claim_property_test.cc
@@ -1,9 +1,9 @@
-// Property: whatever is lost, delayed or refused, a call is sent at most once,
-// a caller that is told "not run" is told the truth, and every request gets one
-// end. The judge is the list of sends that the test itself keeps.
+// Property test of claims: whatever the service loses, delays or refuses, a
+// call is sent at most once, a replayed answer belongs to a call that was sent
+// once, and every request ends. The test counts the sends itself.
 //
-// The wrong variant that this catches is kept beside it: a book that sends
-// before its claim is known to be written.
+// A second case shows that the check fails for a faulty variant that sends a
+// call before its claim is known to be written.
 
 #include <rapidcheck.h>
 
@@ -22,7 +22,7 @@
 constexpr int kRouters = 3;
 constexpr int kKeys = 4;
 
-// The service as claims see it.
+// A fake of the key-value service as claims use it.
 class FakeClaimStore {
  public:
   struct Stored {
@@ -80,19 +80,20 @@
 
 struct Node {
   explicit Node(int n)
-      : self("vm-" + std::to_string(n) + "@1"), book(self, {}, TestChart()) {}
+      : self("vm-" + std::to_string(n) + "@1"), claims(self, {}, TestChart()) {}
   Incarnation self;
-  ClaimBook book;
+  ClaimBook claims;
   std::optional<ClaimCommit> unanswered;
   std::map<RequestId, ClaimKey> waiting;
   std::vector<Running> running;
-  int minted = 0;
+  int request_count = 0;
   bool dead = false;
 };
 
-class World {
+class Simulation {
  public:
-  explicit World(bool send_early) : send_early_(send_early) {
+  explicit Simulation(bool send_before_claim)
+      : send_before_claim_(send_before_claim) {
     for (int n = 0; n < kRouters; ++n) {
       nodes_.push_back(std::make_unique<Node>(n));
     }
@@ -105,10 +106,10 @@
     switch ((pick / kRouters) % 8) {
       case 0:
       case 1:
-        Ask(node, static_cast<int>(size % kKeys));
+        StartCall(node, static_cast<int>(size % kKeys));
         break;
       case 2:
-        EndOne(node, size);
+        EndCall(node, size);
         break;
       case 3:
         if (!delayed_.empty()) {
@@ -122,21 +123,21 @@
       default:
         Drive(node, size);
     }
-    Absorb(node);
+    HandleEvents(node);
   }
 
-  // The last router dies for good; the others go on with a service that
-  // answers, and everybody who still waits gets an end.
+  // Stops the last router and runs the others with a service that answers; all
+  // their waiting requests must end.
   void Settle() {
     nodes_.back()->dead = true;
     for (int round = 0; round < 80; ++round) {
       now_ += milliseconds(150);
       for (auto& it : nodes_) {
         if (it->dead) continue;
-        while (!it->running.empty()) EndOne(*it, 0);
+        while (!it->running.empty()) EndCall(*it, 0);
         Drive(*it, 0);
         Drive(*it, 0);
-        Absorb(*it);
+        HandleEvents(*it);
       }
     }
     for (auto& it : nodes_) {
@@ -149,15 +150,16 @@
     return {CustomerName("c"), IdempotencyKey("k" + std::to_string(n))};
   }
 
-  void Ask(Node& node, int n) {
+  void StartCall(Node& node, int n) {
     const RequestId request(node.self.value + "/" +
-                            std::to_string(node.minted++));
+                            std::to_string(node.request_count++));
     const ClaimKey key = KeyOf(n);
-    const ClaimAnswer answer = node.book.Begin(now_, key, "digest", request, 0);
+    const ClaimAnswer answer =
+        node.claims.Begin(now_, key, "digest", request, 0);
     const bool waits = answer.kind == ClaimAnswerKind::kWait ||
                        answer.kind == ClaimAnswerKind::kJoin;
     if (waits) node.waiting[request] = key;
-    if (waits && send_early_ && answer.kind == ClaimAnswerKind::kWait) {
+    if (waits && send_before_claim_ && answer.kind == ClaimAnswerKind::kWait) {
       Send(node, request, key);
     }
     if (answer.kind == ClaimAnswerKind::kReplay) RC_ASSERT(sends_[key] == 1);
@@ -169,67 +171,67 @@
     node.running.push_back({request, key});
   }
 
-  void EndOne(Node& node, unsigned size) {
+  void EndCall(Node& node, unsigned size) {
     if (node.running.empty()) return;
     const auto [request, key] = node.running.back();
     node.running.pop_back();
     switch (size % 4) {
       case 0:
       case 1:
-        node.book.Done(now_, key, {200, "text/plain", "answer", false});
+        node.claims.Done(now_, key, {200, "text/plain", "answer", false});
         break;
       case 2:
-        node.book.Lost(now_, key);
+        node.claims.Lost(now_, key);
         break;
       default:
-        // The target never took it: as if it had not been sent.
+        // The target refused the call, so it doesn't count as sent.
         --sends_[key];
-        node.book.Abandon(now_, key, request);
+        node.claims.Abandon(now_, key, request);
     }
   }
 
-  // A caller that waits for its claim leaves.
+  // A caller that waits for its claim gives up.
   void GiveUp(Node& node) {
     if (node.waiting.empty()) return;
     const auto it = *node.waiting.begin();
     node.waiting.erase(it.first);
-    node.book.Abandon(now_, it.second, it.first);
+    node.claims.Abandon(now_, it.second, it.first);
   }
 
   void Drive(Node& node, unsigned size) {
     if (!node.unanswered) {
-      node.unanswered = node.book.Next(now_);
+      node.unanswered = node.claims.Next(now_);
       return;
     }
     const ClaimCommit commit = *std::exchange(node.unanswered, std::nullopt);
-    const unsigned fate = size % 8;
-    if (fate == 5) {
+    const unsigned fault = size % 8;
+    if (fault == 5) {
       delayed_.push_back(commit);
-    } else if (fate != 7) {
+    } else if (fault != 7) {
       const bool ok = store_.Apply(commit);
-      if (fate != 6) {
-        node.book.OnCommit(
+      if (fault != 6) {
+        node.claims.OnCommit(
             now_, ok ? ClaimOutcome::kApplied : ClaimOutcome::kRejected,
             store_.revision(), store_.Present(commit));
         return;
       }
     }
-    node.book.OnCommit(now_, ClaimOutcome::kUnknown, 0, {});
+    node.claims.OnCommit(now_, ClaimOutcome::kUnknown, 0, {});
   }
 
-  void Absorb(Node& node) {
-    for (const ClaimEvent& it : node.book.TakeEvents()) {
+  void HandleEvents(Node& node) {
+    for (const ClaimEvent& it : node.claims.TakeEvents()) {
       auto waiting = node.waiting.find(it.request);
       if (waiting == node.waiting.end()) continue;
       const ClaimKey key = waiting->second;
       node.waiting.erase(waiting);
-      if (it.kind == ClaimEventKind::kClaimed && !send_early_) {
+      if (it.kind == ClaimEventKind::kClaimed && !send_before_claim_) {
         Send(node, it.request, key);
       }
     }
   }
 
-  bool send_early_;
+  bool send_before_claim_;
   Instant now_{std::chrono::hours(1)};
   FakeClaimStore store_;
   std::vector<ClaimCommit> delayed_;
@@ -245,25 +247,24 @@
       rc::gen::pair(rc::gen::inRange(0, 24 * 7), rc::gen::inRange(0, 100000)));
 }
 
-void RunWorld(bool send_early, const Steps& steps) {
-  World world(send_early);
+void RunSimulation(bool send_before_claim, const Steps& steps) {
+  Simulation simulation(send_before_claim);
   for (const auto& [pick, size] : steps) {
-    world.Step(static_cast<unsigned>(pick), static_cast<unsigned>(size));
+    simulation.Step(static_cast<unsigned>(pick), static_cast<unsigned>(size));
   }
-  world.Settle();
+  simulation.Settle();
 }
 
 BOOST_AUTO_TEST_CASE(CallIsSentAtMostOnceAndEveryCallerGetsAnEnd) {
-  BOOST_TEST(rc::check([] { RunWorld(false, AnySteps()); }));
+  BOOST_TEST(rc::check([] { RunSimulation(false, AnySteps()); }));
 }
 
 BOOST_AUTO_TEST_CASE(CheckCatchesSendingBeforeTheClaimIsWritten) {
-  // Three routers asked for the same key at once: the wrong variant sends from
-  // each.
+  // Three routers get the same key at once; the faulty variant sends from each.
   const Steps steps = {{0, 0}, {1, 0}, {2, 0}};
   bool caught = false;
   try {
-    RunWorld(true, steps);
+    RunSimulation(true, steps);
   } catch (const std::exception&) {
     caught = true;
   } catch (...) {
