--- a/route/breaker.h
+++ b/route/breaker.h
@@ -1,8 +1,15 @@
 // A circuit breaker for one target (Nygard, "Release It!", 2007).
 //
-// Closed: requests flow. After `failures_to_open` failures in a row it opens:
-// none flow for a pause that doubles with each failed probe. Then it is half
-// open: one request goes through as a probe, and its end decides.
+// Closed: requests are sent. After `failures_to_open` failures in a row the
+// breaker opens: no request is sent for a pause that doubles with each failed
+// probe. Then it is half open: one request is sent as a probe, and its result
+// closes or opens the breaker.
+//
+//   if (breaker.Allows(now)) {
+//     breaker.OnSent(now);
+//     ...
+//     breaker.OnSuccess();  // or OnFailure(now), OnInconclusive()
+//   }
 
 #ifndef QUAYTRACK_ROUTE_BREAKER_H_
 #define QUAYTRACK_ROUTE_BREAKER_H_
@@ -27,18 +34,18 @@
 
 struct BreakerOptions {
   int failures_to_open = 3;
-  Duration first_pause = std::chrono::milliseconds(500);
-  Duration longest_pause = std::chrono::seconds(15);
+  Duration initial_pause = std::chrono::milliseconds(500);
+  Duration max_pause = std::chrono::seconds(15);
 };
 
 class Breaker {
  public:
   explicit Breaker(BreakerOptions options)
-      : options_(options), pause_(options.first_pause) {}
+      : options_(options), pause_(options.initial_pause) {}
 
   BreakerState state() const { return state_; }
 
-  // Whether a request may go now.
+  // Whether a request may be sent now.
   bool Allows(Instant now) const {
     if (state_ == BreakerState::kClosed) return true;
     if (state_ == BreakerState::kOpen) return now >= open_until_;
@@ -55,7 +62,7 @@
   void OnSuccess() {
     failures_ = 0;
     probing_ = false;
-    pause_ = options_.first_pause;
+    pause_ = options_.initial_pause;
     state_ = BreakerState::kClosed;
   }
 
@@ -67,11 +74,11 @@
     if (state_ == BreakerState::kOpen) return;
     state_ = BreakerState::kOpen;
     open_until_ = now + pause_;
-    pause_ = std::min(2 * pause_, options_.longest_pause);
+    pause_ = std::min(2 * pause_, options_.max_pause);
   }
 
-  // The request ended without saying anything about the target.
-  void OnNoVerdict() { probing_ = false; }
+  // The request ended without showing whether the target works.
+  void OnInconclusive() { probing_ = false; }
 
  private:
   BreakerOptions options_;
--- a/route/retry_budget.h
+++ b/route/retry_budget.h
@@ -1,9 +1,10 @@
-// Keeps retries a small part of all requests.
+// Limits retries to a small fraction of all requests.
 //
-// Each fresh request earns a fraction of a retry; each retry spends one. When
-// everything fails, retries are then at most that fraction of the fresh work,
-// and can't multiply an overload ("Addressing Cascading Failures", Google SRE
-// book, 2016). A small reserve lets a quiet router retry at all.
+// Each new request earns a fraction of a retry; each retry spends a whole one.
+// When everything fails, retries are then at most that fraction of the new
+// requests, and can't multiply an overload ("Addressing Cascading Failures",
+// Google SRE book, 2016). The balance starts at its small maximum, so that a
+// router with few requests can retry at all.
 
 #ifndef QUAYTRACK_ROUTE_RETRY_BUDGET_H_
 #define QUAYTRACK_ROUTE_RETRY_BUDGET_H_
@@ -14,7 +15,9 @@
 
 class RetryBudget {
  public:
-  void OnFresh() { balance_ = std::min(kMost, balance_ + kPerFresh); }
+  void OnFresh() {
+    balance_ = std::min(kMaxBalance, balance_ + kRetriesPerRequest);
+  }
 
   bool TryRetry() {
     if (balance_ < 1) return false;
@@ -23,10 +26,10 @@
   }
 
  private:
-  static constexpr double kPerFresh = 0.08;
-  static constexpr double kMost = 10;
+  static constexpr double kRetriesPerRequest = 0.08;
+  static constexpr double kMaxBalance = 10;
 
-  double balance_ = kMost;
+  double balance_ = kMaxBalance;
 };
 
 }  // namespace quaytrack
--- a/route/target_book.cc
+++ b/route/target_book.cc
@@ -9,16 +9,16 @@
 namespace quaytrack {
 namespace {
 
-// Points on the ring for one target; evens out the shares.
+// Points on the ring for each target; more points even out the shares.
 constexpr int kRingPoints = 32;
 
 // Weight of the newest service time in the running mean.
 constexpr double kServiceSmoothing = 0.1;
 
-// A report older than this many decay times is ignored.
-constexpr double kReportWorthless = 4;
+// A report older than this, in units of `report_decay`, is ignored.
+constexpr double kMaxReportAge = 4;
 
-// How much a fully loaded batch slows a request, in mean service times.
+// Cost of a fully loaded batch, in mean service times.
 constexpr double kBatchSlowdown = 0.5;
 
 }  // namespace
@@ -31,12 +31,12 @@
   const auto names_before = std::exchange(by_name_, {});
   for (const TargetSpec& spec : specs) {
     by_name_[spec.name] = targets_.size();
-    auto known = names_before.find(spec.name);
-    if (known == names_before.end()) {
+    auto existing = names_before.find(spec.name);
+    if (existing == names_before.end()) {
       targets_.emplace_back(spec, options_.breaker);
       continue;
     }
-    Target& it = before[known->second];
+    Target& it = before[existing->second];
     it.spec = spec;
     it.limit.SetSlots(spec.slots);
     targets_.push_back(std::move(it));
@@ -86,9 +86,9 @@
 double TargetBook::Load(Instant now, const Target& it) const {
   const double age =
       ToSeconds(now - it.reported_at) / ToSeconds(options_.report_decay);
-  // An old report says nothing, not even which of two idle targets is better.
-  const double fade = age > kReportWorthless ? 0 : std::exp(-age);
-  return it.in_flight + it.others_reported * fade;
+  // An old report doesn't even show which of two idle targets is better.
+  const double weight = age > kMaxReportAge ? 0 : std::exp(-age);
+  return it.in_flight + it.reported_other_load * weight;
 }
 
 double TargetBook::Cost(Instant now, const Target& it, bool has_prefix) const {
@@ -98,7 +98,7 @@
   const double busy = std::min(1.0, load / slots);
   double cost = it.mean_service * (waiting + kBatchSlowdown * busy);
   if (it.spec.hall != options_.own_hall) {
-    cost += ToSeconds(options_.other_hall_cost);
+    cost += ToSeconds(options_.remote_hall_cost);
   }
   if (has_prefix) cost -= ToSeconds(options_.prefix_saving);
   return cost;
@@ -150,8 +150,9 @@
   return FirstWithRoom(now, group, excluded);
 }
 
-// The samples were all full or unusable; a walk from a random place finds room
-// if there is any. It ends at the first, so it is long only under overload.
+// Finds a target with room when all samples were full or unusable, by a scan
+// from a random position. The scan ends at the first match, so it is long only
+// under overload.
 std::optional<TargetIndex> TargetBook::FirstWithRoom(
     Instant now, const Group& group, const std::set<TargetName>& excluded) {
   const std::size_t size = group.members.size();
@@ -192,7 +193,7 @@
   switch (outcome) {
     case TargetOutcome::kOk:
       if (it.breaker.state() != BreakerState::kClosed) {
-        it.limit.RestartSlowly();
+        it.limit.EnterSlowStart();
       }
       it.breaker.OnSuccess();
       it.limit.OnSuccess(before);
@@ -200,14 +201,14 @@
           kServiceSmoothing * (ToSeconds(service_time) - it.mean_service);
       break;
     case TargetOutcome::kOverloaded:
-      it.breaker.OnNoVerdict();
+      it.breaker.OnInconclusive();
       it.limit.OnOverload();
       break;
     case TargetOutcome::kFailed:
       it.breaker.OnFailure(now);
       break;
     case TargetOutcome::kCancelled:
-      it.breaker.OnNoVerdict();
+      it.breaker.OnInconclusive();
       break;
   }
   return it.breaker.state() == BreakerState::kOpen &&
@@ -220,7 +221,7 @@
   if (!n) return;
   Target& it = targets_[*n];
   const int total = report.running + report.queued;
-  it.others_reported = std::max(0, total - it.in_flight);
+  it.reported_other_load = std::max(0, total - it.in_flight);
   it.reported_at = now;
 }
 
--- a/route/target_book.h
+++ b/route/target_book.h
@@ -1,30 +1,31 @@
-// What one router knows of its targets, and which of them takes a request.
+// The targets that one router knows, their state, and the choice of a target
+// for a request.
 //
-// Every router chooses alone, from load reports that are late and from what it
-// sent itself since. Three ideas carry the choice:
+// Every router chooses independently, from delayed load reports and from its
+// requests in flight. The choice rests on three techniques:
 //
-//   * Few candidates. Sampling a few targets at random and taking the best of
-//     them gives most of the benefit of looking at all (Mitzenmacher, "The
-//     Power of Two Choices in Randomized Load Balancing", 2001), and unlike the
-//     global best it doesn't make all routers run to the same target between
+//   * Few candidates. Sampling a few targets at random and choosing the best of
+//     them gives most of the benefit of comparing all (Mitzenmacher, "The Power
+//     of Two Choices in Randomized Load Balancing", 2001), and unlike the
+//     global best it doesn't make all routers choose the same target between
 //     two reports. The cost doesn't grow with the number of targets.
-//   * Own knowledge first. A router knows exactly what it has in flight. A
-//     report adds what the others have, and counts less the older it is.
+//   * Local state first. A router knows exactly what it has in flight. A report
+//     adds the load from other routers, with a weight that decays with its age.
 //   * Prefix affinity with bounded load. Requests with the same prefix go to
-//   the
-//     same target by consistent hashing, where the prefix is cached, unless
-//     that target already has more than `affinity_overload` times the mean load
+//     the same target, which has the prefix cached, by consistent hashing,
+//     unless that target has more than `affinity_overload` times the mean load
 //     (Mirrokni et al., "Consistent Hashing with Bounded Loads", 2018).
 //
-// Whether a target is used at all is decided by its limit (how many of this
-// router's requests at once), its breaker, and whether it is leaving.
+// A target is used only if it answers, its breaker allows it, it has fewer of
+// this router's requests than its limit, and it isn't leaving.
 //
-//   TargetBook book({}, seed);
-//   book.SetTargets(specs);
-//   if (auto n = book.Choose(now, group, prefix_hash, {})) {
-//     book.OnSent(now, *n);
+//   TargetBook targets({}, seed);
+//   targets.SetTargets(specs);
+//   if (auto n = targets.Choose(now, group, prefix_hash, {})) {
+//     const TargetName name = targets.Spec(*n).name;
+//     targets.OnSent(now, *n);
 //     ...
-//     book.OnEnd(now, *n, TargetOutcome::kOk, service_time);
+//     targets.OnEnd(now, name, TargetOutcome::kOk, service_time);
 //   }
 
 #ifndef QUAYTRACK_ROUTE_TARGET_BOOK_H_
@@ -47,11 +48,11 @@
 
 namespace quaytrack {
 
-// Who said that a target is leaving. Any one is enough, and only the one that
-// said so can take it back.
+// The source that marked a target as leaving. One source is enough, and only
+// that source can clear its mark.
 enum class LeavingCause { kBundle, kVmList, kTarget };
 
-// What a request needs: a model's name, or a service's.
+// Targets that can serve the same requests: those of one model or one service.
 using GroupName = Id<struct GroupTag>;
 
 inline GroupName GroupOf(const ModelName& it) {
@@ -69,7 +70,7 @@
   bool leaving = false;
 };
 
-// A target's own report of its load, as it was some time ago.
+// A target's report of its load.
 struct LoadReport {
   int running = 0;
   int queued = 0;
@@ -77,42 +78,45 @@
 
 enum class TargetOutcome {
   kOk,
-  kOverloaded,  // the target refused for lack of room
-  kFailed,      // error, reset, garbled answer or no answer in time
-  kCancelled,   // the router ended it; says nothing about the target
+  kOverloaded,  // the target refused because of overload
+  kFailed,      // error, reset, malformed answer or timeout
+  kCancelled,   // the router ended it; shows nothing about the target
 };
 
 struct TargetBookOptions {
   HallName own_hall;
-  // Random candidates beside the prefix's own target.
+  // Number of random candidates besides the prefix's target.
   int samples = 2;
+  // Bound on the load of a prefix's target, as a multiple of the mean load.
   double affinity_overload = 1.25;
-  // A report's weight halves about every 0.7 of this.
+  // Time constant of the exponential decay of a report's weight; the weight
+  // halves about every 0.7 of it.
   Duration report_decay = std::chrono::seconds(4);
   // Extra cost of a target in another hall.
-  Duration other_hall_cost = std::chrono::milliseconds(2);
-  // What a cached prefix is expected to save.
+  Duration remote_hall_cost = std::chrono::milliseconds(2);
+  // Time that a cached prefix is expected to save.
   Duration prefix_saving = std::chrono::milliseconds(80);
   BreakerOptions breaker;
 };
 
-// Index of a target within its book. Valid until the next `SetTargets`.
+// Index of a target; valid until the next `SetTargets`.
 using TargetIndex = std::size_t;
 
 class TargetBook {
  public:
   TargetBook(TargetBookOptions options, std::uint64_t seed);
 
-  // Takes a new set; targets that keep their name keep what is known of them.
+  // Replaces the targets; those whose names stay keep their state.
   void SetTargets(const std::vector<TargetSpec>& specs);
 
-  // The target for one request, or none if no usable one has room. `excluded`
-  // are targets that this request has tried.
+  // The target for one request, or std::nullopt if no usable target has room.
+  // `excluded` are the targets that this request has tried. A `prefix_hash` of
+  // 0 means no prefix.
   std::optional<TargetIndex> Choose(Instant now, const GroupName& group,
                                     std::uint64_t prefix_hash,
                                     const std::set<TargetName>& excluded);
 
-  // Whether any target of the group could be used now or later.
+  // Whether any target of the group is usable now, with room or without.
   bool AnyUsable(Instant now, const GroupName& group) const;
 
   void OnSent(Instant now, TargetIndex n);
@@ -121,7 +125,7 @@
              Duration service_time);
   void OnLoadReport(Instant now, const TargetName& name,
                     const LoadReport& report);
-  // Whether the target answers at all; one that doesn't gets no work.
+  // Sets whether the target answers; one that doesn't gets no requests.
   void SetResponsive(const TargetName& name, bool responsive);
   void SetLeaving(const TargetName& name, LeavingCause cause, bool leaving);
   bool Leaving(TargetIndex n) const { return !targets_[n].leaving.empty(); }
@@ -134,7 +138,7 @@
     return targets_[n].breaker.state();
   }
   int LimitOf(TargetIndex n) const { return targets_[n].limit.limit(); }
-  // Smoothed time that one request of the group takes.
+  // Mean over the group's targets of the smoothed service time.
   Duration MeanService(const GroupName& group) const;
 
  private:
@@ -146,8 +150,9 @@
     std::set<LeavingCause> leaving;
     bool responsive = true;
     int in_flight = 0;
-    double others_reported = 0;
+    double reported_other_load = 0;
     Instant reported_at{};
+    // Smoothed service time in seconds.
     double mean_service = 0.5;
     Breaker breaker;
     ConcurrencyLimit limit;
--- a/route/testing/route_test.cc
+++ b/route/testing/route_test.cc
@@ -1,3 +1,7 @@
+// Tests the choice of targets, the circuit breaker, the retry budget and the
+// wait queue. Property tests check that limits hold, that a leaving target is
+// never chosen, and that every queued request leaves the queue exactly once.
+
 #include <rapidcheck.h>
 
 #include <boost/test/unit_test.hpp>
@@ -32,66 +36,68 @@
 }
 
 BOOST_AUTO_TEST_CASE(NeverPassesALimitAndNeverChoosesALeavingTarget) {
-  BOOST_TEST(rc::check([](const std::vector<std::uint8_t>& deeds) {
-    TargetBook book({}, 7);
-    book.SetTargets(Specs(4, 3));
+  BOOST_TEST(rc::check([](const std::vector<std::uint8_t>& operations) {
+    TargetBook targets({}, 7);
+    targets.SetTargets(Specs(4, 3));
     std::vector<TargetName> running;
     Instant now = kStart;
-    for (std::uint8_t it : deeds) {
+    for (std::uint8_t it : operations) {
       now += milliseconds(it);
       const TargetName name("t" + std::to_string(it % 4));
       if (it % 11 == 0) {
-        book.SetLeaving(name, LeavingCause::kVmList, it % 2 == 0);
+        targets.SetLeaving(name, LeavingCause::kVmList, it % 2 == 0);
       } else if (it % 5 == 0 && !running.empty()) {
         const auto outcome =
             it % 3 == 0 ? TargetOutcome::kFailed : TargetOutcome::kOk;
-        book.OnEnd(now, running.back(), outcome, milliseconds(5));
+        targets.OnEnd(now, running.back(), outcome, milliseconds(5));
         running.pop_back();
-      } else if (const auto n = book.Choose(now, kGroup, it, {})) {
-        RC_ASSERT(!book.Leaving(*n));
-        book.OnSent(now, *n);
-        RC_ASSERT(book.InFlight(*n) <= 3);
-        running.push_back(book.Spec(*n).name);
+      } else if (const auto n = targets.Choose(now, kGroup, it, {})) {
+        RC_ASSERT(!targets.Leaving(*n));
+        targets.OnSent(now, *n);
+        RC_ASSERT(targets.InFlight(*n) <= 3);
+        running.push_back(targets.Spec(*n).name);
       }
     }
   }));
 }
 
 BOOST_AUTO_TEST_CASE(FindsTheOnlyRoomThereIs) {
-  TargetBook book({}, 7);
-  book.SetTargets(Specs(50, 1));
+  TargetBook targets({}, 7);
+  targets.SetTargets(Specs(50, 1));
   for (int n = 0; n < 50; ++n) {
-    const auto chosen = book.Choose(kStart, kGroup, 0, {});
+    const auto chosen = targets.Choose(kStart, kGroup, 0, {});
     BOOST_REQUIRE(chosen);
-    book.OnSent(kStart, *chosen);
+    targets.OnSent(kStart, *chosen);
   }
-  BOOST_TEST(!book.Choose(kStart, kGroup, 0, {}));
+  BOOST_TEST(!targets.Choose(kStart, kGroup, 0, {}));
 }
 
 BOOST_AUTO_TEST_CASE(SamePrefixStaysTogetherUntilItsTargetIsBusy) {
-  TargetBook book({}, 7);
-  book.SetTargets(Specs(8, 16));
-  const auto first = book.Choose(kStart, kGroup, 99, {});
+  TargetBook targets({}, 7);
+  targets.SetTargets(Specs(8, 16));
+  const auto first = targets.Choose(kStart, kGroup, 99, {});
   for (int n = 0; n < 20; ++n) {
-    BOOST_TEST(*book.Choose(kStart, kGroup, 99, {}) == *first);
+    BOOST_TEST(*targets.Choose(kStart, kGroup, 99, {}) == *first);
   }
-  for (int n = 0; n < 16; ++n) book.OnSent(kStart, *first);
-  BOOST_TEST(*book.Choose(kStart, kGroup, 99, {}) != *first);
+  for (int n = 0; n < 16; ++n) targets.OnSent(kStart, *first);
+  BOOST_TEST(*targets.Choose(kStart, kGroup, 99, {}) != *first);
 }
 
 BOOST_AUTO_TEST_CASE(LoadOfOthersCountsLessTheOlderItIs) {
-  TargetBook book({}, 7);
-  book.SetTargets(Specs(2, 8));
-  book.OnLoadReport(kStart, TargetName("t0"), {8, 4});
-  std::map<std::string, int> soon;
-  std::map<std::string, int> late;
+  TargetBook targets({}, 7);
+  targets.SetTargets(Specs(2, 8));
+  targets.OnLoadReport(kStart, TargetName("t0"), {8, 4});
+  std::map<std::string, int> new_report;
+  std::map<std::string, int> old_report;
   for (int n = 0; n < 200; ++n) {
-    ++soon[book.Spec(*book.Choose(kStart, kGroup, 0, {})).name.value];
-    ++late[book.Spec(*book.Choose(kStart + seconds(60), kGroup, 0, {}))
-               .name.value];
+    ++new_report[targets.Spec(*targets.Choose(kStart, kGroup, 0, {}))
+                     .name.value];
+    ++old_report[targets
+                     .Spec(*targets.Choose(kStart + seconds(60), kGroup, 0, {}))
+                     .name.value];
   }
-  BOOST_TEST(soon["t0"] < 70);
-  BOOST_TEST(late["t0"] > 70);
+  BOOST_TEST(new_report["t0"] < 70);
+  BOOST_TEST(old_report["t0"] > 70);
 }
 
 BOOST_AUTO_TEST_CASE(BreakerOpensProbesAndCloses) {
@@ -161,45 +167,45 @@
 
 BOOST_AUTO_TEST_CASE(HopelessIsRefusedOnArrivalWithATimeToComeBack) {
   WaitQueue queue({});
-  // Serves ten a second.
+  // The queue serves ten requests per second.
   Instant now = kStart;
   for (int n = 0; n < 200; ++n) queue.Push(now, Queued("a", n), {});
   for (int n = 0; n < 50; ++n) {
     now += milliseconds(100);
     queue.Pop(now);
   }
-  QueuedRequest hurried = Queued("b", 1);
-  hurried.deadline = now + seconds(1);
-  const QueueAnswer answer = queue.Push(now, hurried, milliseconds(100));
+  QueuedRequest urgent = Queued("b", 1);
+  urgent.deadline = now + seconds(1);
+  const QueueAnswer answer = queue.Push(now, urgent, milliseconds(100));
   BOOST_TEST((answer.verdict == QueueVerdict::kTooLate));
   BOOST_TEST(ToSeconds(answer.retry_after) > 5);
   BOOST_TEST(ToSeconds(answer.retry_after) <= 60);
 }
 
 BOOST_AUTO_TEST_CASE(EveryQueuedRequestLeavesOnceByOneWay) {
-  BOOST_TEST(rc::check([](const std::vector<std::uint8_t>& deeds) {
+  BOOST_TEST(rc::check([](const std::vector<std::uint8_t>& operations) {
     WaitQueue queue({});
-    std::set<RequestId> inside;
+    std::set<RequestId> queued;
     Instant now = kStart;
-    int minted = 0;
-    for (std::uint8_t it : deeds) {
+    int request_count = 0;
+    for (std::uint8_t it : operations) {
       now += milliseconds(it);
       switch (it % 4) {
         case 0:
         case 1: {
           QueuedRequest request = Queued(
-              it % 3 == 0 ? "a" : "b", minted++,
+              it % 3 == 0 ? "a" : "b", request_count++,
               it % 5 == 0 ? PriorityClass::kBatch : PriorityClass::kStandard);
           request.deadline = now + milliseconds(it * 5);
           const auto answer = queue.Push(now, request, milliseconds(1));
           if (answer.verdict == QueueVerdict::kQueued) {
-            inside.insert(request.request);
+            queued.insert(request.request);
           }
           break;
         }
         case 2:
-          for (const auto& gone : queue.TakeExpired(now)) {
-            RC_ASSERT(inside.erase(gone.request) == 1U);
+          for (const auto& expired : queue.TakeExpired(now)) {
+            RC_ASSERT(queued.erase(expired.request) == 1U);
           }
           break;
         default:
@@ -207,15 +213,15 @@
             if (it % 7 == 0) {
               queue.Restore(*next);
             } else {
-              RC_ASSERT(inside.erase(next->request) == 1U);
+              RC_ASSERT(queued.erase(next->request) == 1U);
             }
           }
       }
-      RC_ASSERT(queue.size() == inside.size());
+      RC_ASSERT(queue.size() == queued.size());
     }
     now += std::chrono::hours(1);
-    for (const auto& it : queue.TakeExpired(now)) inside.erase(it.request);
-    RC_ASSERT(inside.empty());
+    for (const auto& it : queue.TakeExpired(now)) queued.erase(it.request);
+    RC_ASSERT(queued.empty());
   }));
 }
 
--- a/route/wait_queue.cc
+++ b/route/wait_queue.cc
@@ -19,25 +19,26 @@
 
 Duration WaitQueue::DrainTime(Instant now) const {
   if (size_ == 0) return Duration::zero();
-  const double rate = drained_.PerSecond(now);
-  const double seconds = rate <= 0 ? ToSeconds(options_.longest_retry)
+  const double rate = service_rate_.PerSecond(now);
+  const double seconds = rate <= 0 ? ToSeconds(options_.max_retry_after)
                                    : static_cast<double>(size_) / rate;
   const auto out =
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
-          std::min(seconds, ToSeconds(options_.longest_retry))));
-  return std::max(out, options_.shortest_retry);
+          std::min(seconds, ToSeconds(options_.max_retry_after))));
+  return std::max(out, options_.min_retry_after);
 }
 
 QueueAnswer WaitQueue::Push(Instant now, QueuedRequest request,
                             Duration service) {
-  if (size_ >= options_.most) return {QueueVerdict::kFull, DrainTime(now)};
-  // With a drain rate, the wait can be foretold; without one, the request is
-  // given the benefit of the doubt until its deadline.
-  const bool rate_known = drained_.PerSecond(now) > 0;
+  if (size_ >= options_.max_size) return {QueueVerdict::kFull, DrainTime(now)};
+  // The service rate gives the expected wait. Without a rate, a wait of zero is
+  // assumed, so the request may wait until its deadline.
+  const bool rate_known = service_rate_.PerSecond(now) > 0;
   const Duration wait = rate_known ? DrainTime(now) : Duration::zero();
-  const bool hopeless = now + service > request.deadline ||
-                        (size_ > 0 && now + wait + service > request.deadline);
-  if (hopeless) {
+  const bool misses_deadline =
+      now + service > request.deadline ||
+      (size_ > 0 && now + wait + service > request.deadline);
+  if (misses_deadline) {
     return {QueueVerdict::kTooLate, std::max(DrainTime(now), service)};
   }
   request.queued_at = now;
@@ -94,7 +95,7 @@
   best->second.pass += 1.0 / std::max(1, out.customer_weight);
   --best_class->size;
   --size_;
-  drained_.Add(now, 1);
+  service_rate_.Add(now, 1);
   return out;
 }
 
@@ -113,9 +114,11 @@
         --state.size;
         --size_;
       }
-      // An empty flow that is not behind carries no state worth keeping.
-      const bool forget = waiting.empty() && it->second.pass <= state.flow_time;
-      it = forget ? state.flows.erase(it) : std::next(it);
+      // An empty flow that isn't ahead of the others needs no state: a new flow
+      // starts at `flow_time`.
+      const bool erase_flow =
+          waiting.empty() && it->second.pass <= state.flow_time;
+      it = erase_flow ? state.flows.erase(it) : std::next(it);
     }
   }
   return out;
--- a/route/wait_queue.h
+++ b/route/wait_queue.h
@@ -1,14 +1,15 @@
-// Requests that wait for a target, in the order in which they are served.
+// Queues requests that wait for a target and chooses the order of service.
 //
 // Between classes and, within a class, between customers, the next request is
 // chosen by stride scheduling (Waldspurger and Weihl, 1995): each flow has a
 // pass value that grows by 1/weight with every request served, and the flow
-// with the smallest goes next. So a customer gets its share however many
-// requests another one has waiting, and no class starves.
+// with the smallest pass is served next. So a customer gets its share however
+// many requests another customer has waiting, and no class starves.
 //
 // A request that can't be served before its deadline is refused when it
-// arrives, with a time after which the queue will have drained; and once more
-// when its turn comes. Holding it back would only waste its caller's time.
+// arrives, with the time after which the queue is expected to be empty, as
+// waiting would only waste its caller's time. `TakeExpired` removes requests
+// whose deadlines have passed in the queue.
 
 #ifndef QUAYTRACK_ROUTE_WAIT_QUEUE_H_
 #define QUAYTRACK_ROUTE_WAIT_QUEUE_H_
@@ -50,37 +51,39 @@
 
 struct QueueAnswer {
   QueueVerdict verdict{};
-  // With a refusal: how long to wait before trying again.
+  // With a refusal: the time to wait before a retry.
   Duration retry_after{};
 };
 
 struct WaitQueueOptions {
-  std::size_t most = 4000;
-  // Expected waits are taken to be at least this once there is a queue.
-  Duration shortest_retry = std::chrono::milliseconds(500);
-  Duration longest_retry = std::chrono::seconds(60);
+  // Maximum number of queued requests.
+  std::size_t max_size = 4000;
+  // Bounds of the expected wait while requests are queued.
+  Duration min_retry_after = std::chrono::milliseconds(500);
+  Duration max_retry_after = std::chrono::seconds(60);
 };
 
 class WaitQueue {
  public:
   explicit WaitQueue(WaitQueueOptions options) : options_(options) {}
 
-  // `service` is the expected time from being sent to being answered.
+  // `service` is the expected time from sending the request to its answer.
   QueueAnswer Push(Instant now, QueuedRequest request, Duration service);
 
-  // The next request to send; none if the queue is empty. Call `TakeExpired`
-  // first, or it may be one whose deadline has passed.
+  // Removes and returns the next request to send; std::nullopt if the queue is
+  // empty. Call `TakeExpired` first, as `Pop` doesn't check deadlines.
   std::optional<QueuedRequest> Pop(Instant now);
 
-  // Puts back a request that was popped and found no target.
+  // Puts back a request that was popped but found no target.
   void Restore(QueuedRequest request);
 
-  // Removes and returns everything whose deadline has passed.
+  // Removes and returns all requests whose deadlines have passed.
   std::vector<QueuedRequest> TakeExpired(Instant now);
+  // Returns whether the request was queued.
   bool Remove(const RequestId& request);
 
   std::size_t size() const { return size_; }
-  // How long until what is queued now will have been served.
+  // Expected time until all requests that are queued now are served.
   Duration DrainTime(Instant now) const;
 
  private:
@@ -88,11 +91,11 @@
     double pass = 0;
     std::deque<QueuedRequest> waiting;
   };
-  // What waits in one class.
+  // The queued requests of one class.
   struct ClassState {
     double pass = 0;
     std::map<CustomerName, Flow> flows;
-    // Pass of the flow that was served last; where a new flow starts.
+    // Pass of the flow that was served last; a new flow starts there.
     double flow_time = 0;
     std::size_t size = 0;
   };
@@ -104,7 +107,7 @@
   std::map<PriorityClass, ClassState> classes_;
   std::size_t size_ = 0;
   double class_time_ = 0;
-  DecayingRate drained_{std::chrono::seconds(5)};
+  DecayingRate service_rate_{std::chrono::seconds(5)};
 };
 
 }  // namespace quaytrack
