--- a/member/registry.cc
+++ b/member/registry.cc
@@ -63,18 +63,19 @@
 Incarnation RouterRegistry::WitnessFor(const RouterEntry& self,
                                        const Incarnation& avoid) const {
   Incarnation best;
-  bool best_elsewhere = false;
+  bool best_in_other_hall = false;
   std::uint64_t best_score = 0;
   for (const auto& [name, it] : entries_) {
     if (VmOf(name) == VmOf(self.incarnation) || name == avoid) continue;
-    const bool elsewhere = it.hall != self.hall;
+    const bool in_other_hall = it.hall != self.hall;
     const std::uint64_t score =
         StableHash(self.incarnation.value + "|" + name.value);
-    const bool better = best.empty() || (elsewhere && !best_elsewhere) ||
-                        (elsewhere == best_elsewhere && score > best_score);
+    const bool better =
+        best.empty() || (in_other_hall && !best_in_other_hall) ||
+        (in_other_hall == best_in_other_hall && score > best_score);
     if (!better) continue;
     best = name;
-    best_elsewhere = elsewhere;
+    best_in_other_hall = in_other_hall;
     best_score = score;
   }
   return best;
--- a/member/registry.h
+++ b/member/registry.h
@@ -1,8 +1,9 @@
 // The routers that are registered in the key-value service.
 //
-// Each incarnation registers under a key with a lease. `RouterRegistry` holds
-// what is known of them from reads and watches, and combines it with the VM
-// list into the one question that matters: is this incarnation dead for good?
+// Each incarnation registers under a key with a lease. `RouterRegistry`
+// contains the entries from reads and watches, and decides from them and from
+// the VM list (member/vm_tracker.h) whether an incarnation is proven dead. It
+// also chooses the witness of a router.
 
 #ifndef QUAYTRACK_MEMBER_REGISTRY_H_
 #define QUAYTRACK_MEMBER_REGISTRY_H_
@@ -35,31 +36,32 @@
 
 class RouterRegistry {
  public:
-  // Replaces everything after a full read.
+  // Replaces all entries after a full read.
   void Reset(const std::vector<RouterEntry>& entries);
   void Put(const RouterEntry& entry);
   void Remove(const Incarnation& incarnation);
 
   const std::map<Incarnation, RouterEntry>& entries() const { return entries_; }
 
-  // Proof of death: the VM list has dropped the VM for longer than its lag, or
-  // a later incarnation of the same VM has registered. `created` is the
-  // revision at which `incarnation` itself registered. One VM runs one router,
-  // so a later registration means that the earlier process has ended.
+  // Whether `incarnation` is proven dead: the VM list has lacked its VM for
+  // longer than the list's lag, or a later incarnation of the same VM has
+  // registered. `created` is the revision at which `incarnation` registered.
+  // One VM runs one router, so a later registration means that the earlier
+  // process has ended.
   bool ProvenDead(Instant now, const Incarnation& incarnation,
                   std::int64_t created, const VmTracker& vms) const;
 
-  // The registered peer that should keep copies of `self`'s unwritten bills:
-  // by rendezvous hash among other halls' routers, else among all others.
-  // Empty if there is none. `avoid` is not chosen.
+  // The registered peer that should keep copies of `self`'s unwritten bills, by
+  // rendezvous hash: one in another hall if there is any, else any on another
+  // VM. Empty if there is none. `avoid` is not chosen.
   Incarnation WitnessFor(const RouterEntry& self,
                          const Incarnation& avoid) const;
 
  private:
   std::map<Incarnation, RouterEntry> entries_;
-  // The latest registration ever seen on each VM. Its incarnation matters: a
-  // router whose lease lapsed registers again, later, and is no successor of
-  // itself.
+  // The latest registration ever seen on each VM. Its incarnation is compared
+  // too: a router whose lease lapsed registers again at a later revision, which
+  // doesn't prove it dead.
   std::map<VmName, RouterEntry> latest_;
 };
 
--- a/member/testing/member_test.cc
+++ b/member/testing/member_test.cc
@@ -1,3 +1,6 @@
+// Tests which VM lists and registrations prove a router dead, and the choice of
+// a witness.
+
 #include <boost/test/unit_test.hpp>
 
 #include "member/registry.h"
@@ -38,7 +41,7 @@
   now += seconds(60);
   BOOST_TEST(!tracker.Dropped(now, kVm));
   BOOST_TEST(!tracker.Absent(now, kVm));
-  // The count starts again after the gap.
+  // The time counts anew after the gap.
   List({});
   BOOST_TEST(!tracker.Absent(now, kVm));
 }
@@ -82,8 +85,9 @@
   BOOST_TEST(!registry.ProvenDead(now, Incarnation("vm-1@2-b"), 20, tracker));
 }
 
-// A frozen router whose lease lapsed registers anew when it wakes; if it then
-// freezes again, its own second registration must not count as a successor's.
+// Guards against declaring a live router dead: a router whose lease lapsed
+// while it was paused registers again, and its second registration isn't a
+// successor's.
 BOOST_FIXTURE_TEST_CASE(OwnSecondRegistrationIsNoProof, RegistryFixture) {
   List({{kVm, VmState::kLive}});
   registry.Put(Entry("vm-1@1-a", "h1", 10));
--- a/member/vm_tracker.cc
+++ b/member/vm_tracker.cc
@@ -23,9 +23,9 @@
 }
 
 void VmTracker::OnList(Instant now, const std::vector<VmEntry>& list) {
-  const bool broken = !unbroken_since_ || now - last_ > options_.gap;
-  if (broken) {
-    unbroken_since_ = now;
+  const bool after_gap = !continuous_since_ || now - last_ > options_.max_gap;
+  if (after_gap) {
+    continuous_since_ = now;
     absent_since_.clear();
   }
   last_ = now;
@@ -45,21 +45,21 @@
   return it != listed_.end() && it->second == VmState::kLeaving;
 }
 
-// Whether lists are coming in without a gap.
-bool VmTracker::Fresh(Instant now) const {
-  return unbroken_since_ && now - last_ <= options_.gap;
+// Whether lists arrive without a gap.
+bool VmTracker::ListsCurrent(Instant now) const {
+  return continuous_since_ && now - last_ <= options_.max_gap;
 }
 
 bool VmTracker::Dropped(Instant now, const VmName& vm) const {
   auto it = absent_since_.find(vm);
-  if (!Fresh(now) || it == absent_since_.end()) return false;
+  if (!ListsCurrent(now) || it == absent_since_.end()) return false;
   return last_ - it->second > options_.lag;
 }
 
 bool VmTracker::Absent(Instant now, const VmName& vm) const {
-  if (!Fresh(now) || listed_.contains(vm)) return false;
+  if (!ListsCurrent(now) || listed_.contains(vm)) return false;
   if (absent_since_.contains(vm)) return Dropped(now, vm);
-  return last_ - *unbroken_since_ > options_.lag;
+  return last_ - *continuous_since_ > options_.lag;
 }
 
 }  // namespace quaytrack
--- a/member/vm_tracker.h
+++ b/member/vm_tracker.h
@@ -1,17 +1,17 @@
-// What the platform's VM list proves.
+// Decides from the platform's VM list which VMs are leaving or gone.
 //
-// The list shows live and leaving VMs, late. Three conclusions are drawn:
+// The list shows live and leaving VMs with a delay. It gives three results:
 //
-//   Leaving(vm)     from the first list that says so: it gets no new work;
+//   Leaving(vm)     the last list shows the VM as leaving: it gets no new work;
 //   Dropped(vm)     lists showed the VM, and have lacked it since, without a
-//                   break, for longer than the list's lag: it is gone;
-//   Absent(vm)      the same, or lists never showed it at all. A VM so new that
-//                   the list doesn't show it yet looks the same, so this proves
-//                   something only of VMs that are known to be old.
+//                   gap, for longer than the list's lag: the VM is gone;
+//   Absent(vm)      the same, or lists have never shown the VM. This is also
+//                   true of a new VM that the list doesn't show yet, so it is a
+//                   proof only for VMs that are known to be old.
 //
-// A list that can't be had proves nothing: the count starts again after a gap,
-// as the VM may have been listed meanwhile. A lapsed lease is no proof either:
-// its holder may be paused and go on.
+// A missing list proves nothing: the time counts anew after a gap, as the VM
+// may have been listed meanwhile. A lapsed lease is no proof either: its owner
+// may be paused and continue.
 
 #ifndef QUAYTRACK_MEMBER_VM_TRACKER_H_
 #define QUAYTRACK_MEMBER_VM_TRACKER_H_
@@ -41,14 +41,15 @@
   VmState state = VmState::kLive;
 };
 
-// Reads {"vms": [{"name": "vm-1", "state": "live"}]}; empty if it isn't that.
+// Parses {"vms": [{"name": "vm-1", "state": "live"}]}; returns std::nullopt if
+// `text` has another form.
 std::optional<std::vector<VmEntry>> DecodeVmList(std::string_view text);
 
 struct VmTrackerOptions {
-  // How far the list may be behind, with a margin.
+  // Maximum delay of the list, with a margin.
   Duration lag = std::chrono::seconds(3);
-  // A longer pause between two lists is a gap.
-  Duration gap = std::chrono::seconds(10);
+  // A longer time between two lists is a gap.
+  Duration max_gap = std::chrono::seconds(10);
 };
 
 class VmTracker {
@@ -62,14 +63,14 @@
   bool Absent(Instant now, const VmName& vm) const;
 
  private:
-  bool Fresh(Instant now) const;
+  bool ListsCurrent(Instant now) const;
 
   VmTrackerOptions options_;
   std::map<VmName, VmState> listed_;
-  // Since when lists without a gap have lacked a VM that was once listed.
+  // Since when lists, without a gap, have lacked a VM that was listed before.
   std::map<VmName, Instant> absent_since_;
-  // Since when lists have come without a gap.
-  std::optional<Instant> unbroken_since_;
+  // Since when lists have arrived without a gap.
+  std::optional<Instant> continuous_since_;
   Instant last_{};
 };
 
