--- a/bundle/bundle.cc
+++ b/bundle/bundle.cc
@@ -13,12 +13,12 @@
 
 namespace leaf = boost::leaf;
 
-constexpr Tokens kMostTokens = 1'000'000'000'000'000;
-constexpr std::size_t kLongestName = 64;
+constexpr Tokens kMaxTokens = 1'000'000'000'000'000;
+constexpr std::size_t kMaxNameLength = 64;
 constexpr std::size_t kSha256HexLength = 64;
 
 bool IsName(std::string_view text) {
-  if (text.empty() || text.size() > kLongestName) return false;
+  if (text.empty() || text.size() > kMaxNameLength) return false;
   return std::all_of(text.begin(), text.end(), [](char it) {
     return std::isalnum(static_cast<unsigned char>(it)) != 0 || it == '-' ||
            it == '_' || it == '.';
@@ -38,8 +38,8 @@
          port.find_first_not_of("0123456789") == std::string_view::npos;
 }
 
-// Reads the lines in order and resolves references at the end.
-class Reader {
+// Parses the lines in order and checks references at the end.
+class BundleParser {
  public:
   leaf::result<Bundle> Read(std::string_view text) {
     int number = 0;
@@ -56,14 +56,14 @@
     if (!problems_.empty()) {
       return leaf::new_error(BundleProblems{std::move(problems_)});
     }
-    return std::move(out_);
+    return std::move(bundle_);
   }
 
  private:
-  using LineReader = void (Reader::*)(BundleLine&);
+  using LineParser = void (BundleParser::*)(BundleLine&);
   struct Kind {
     std::string_view name;
-    LineReader read;
+    LineParser read;
   };
   static const std::array<Kind, 6> kKinds;
 
@@ -91,12 +91,12 @@
       return;
     }
     line.Number("format", 1, 1);
-    out_.version = static_cast<std::uint64_t>(
+    bundle_.version = static_cast<std::uint64_t>(
         line.Number("version", 1, std::numeric_limits<std::int64_t>::max()));
     line.Finish();
   }
 
-  // Names are unique within a kind; calls repeat their service's name.
+  // Names are unique within a kind, except that a call has its service's name.
   void CheckName(BundleLine& line) {
     if (!IsName(line.name())) {
       line.Problem("name",
@@ -110,9 +110,9 @@
     }
   }
 
-  // Remembers that `line` refers to another item.
-  void Refer(const BundleLine& line, const std::string& field,
-             const std::string& kind, const std::string& name) {
+  // Records that `line` refers to another item, for CheckReferences.
+  void AddReference(const BundleLine& line, const std::string& field,
+                    const std::string& kind, const std::string& name) {
     if (!name.empty())
       references_.push_back({line.number(), field, kind, name});
   }
@@ -120,19 +120,19 @@
   void ReadBudget(BundleLine& line) {
     BudgetSetting it;
     it.name = BudgetName(line.name());
-    it.limit = line.Number("limit", 0, kMostTokens);
+    it.limit = line.Number("limit", 0, kMaxTokens);
     it.policy.cover = std::chrono::duration_cast<std::chrono::seconds>(
         line.Span("cover", it.policy.cover));
     it.policy.standing_divisor = static_cast<int>(
         line.Number("standing", 0, 100000, it.policy.standing_divisor));
-    out_.budgets.push_back(it);
+    bundle_.budgets.push_back(it);
   }
 
   void ReadCustomer(BundleLine& line) {
     CustomerSetting it;
     it.name = CustomerName(line.name());
     it.budget = BudgetName(line.Text("budget"));
-    Refer(line, "budget", "budget", it.budget.value);
+    AddReference(line, "budget", "budget", it.budget.value);
     it.weight = static_cast<int>(line.Number("weight", 1, 1000, 1));
     static constexpr std::string_view kPrefix = "sha256:";
     const std::string key = line.Text("key");
@@ -141,10 +141,10 @@
       return;
     }
     it.key_sha256 = key.substr(kPrefix.size());
-    if (!out_.customer_by_key.emplace(it.key_sha256, it.name).second) {
+    if (!bundle_.customer_by_key.emplace(it.key_sha256, it.name).second) {
       line.Problem("key", "belongs to another customer too");
     }
-    out_.customers[it.name] = it;
+    bundle_.customers[it.name] = it;
   }
 
   void ReadModel(BundleLine& line) {
@@ -155,7 +155,7 @@
     it.max_tokens = line.Number("max-tokens", 1, 10000000, it.max_tokens);
     it.default_max_tokens = line.Number("default-max-tokens", 1, it.max_tokens,
                                         it.default_max_tokens);
-    out_.models[it.name] = it;
+    bundle_.models[it.name] = it;
   }
 
   void ReadService(BundleLine& line) {
@@ -163,7 +163,7 @@
     it.name = ServiceName(line.name());
     it.price = line.Number("price", 0, 1000000, 1);
     it.timeout = line.Span("timeout", it.timeout);
-    out_.services[it.name] = it;
+    bundle_.services[it.name] = it;
   }
 
   void ReadCall(BundleLine& line) {
@@ -172,8 +172,8 @@
     it.path = line.Text("path");
     it.repeat = line.Choice("repeat", Repeat::kAllowed);
     if (!it.path.starts_with('/')) line.Problem("path", "must start with '/'");
-    Refer(line, "name", "service", line.name());
-    out_.services[ServiceName(line.name())].calls.push_back(it);
+    AddReference(line, "name", "service", line.name());
+    bundle_.services[ServiceName(line.name())].calls.push_back(it);
   }
 
   void ReadTarget(BundleLine& line) {
@@ -181,18 +181,18 @@
     it.name = TargetName(line.name());
     it.kind = line.Choice("kind", TargetKind::kEngine);
     for (std::string& name : line.List("models")) {
-      Refer(line, "models", "model", name);
+      AddReference(line, "models", "model", name);
       it.models.emplace_back(std::move(name));
     }
     it.service = ServiceName(line.OptionalText("service"));
-    Refer(line, "service", "service", it.service.value);
+    AddReference(line, "service", "service", it.service.value);
     it.address = line.Text("address");
     it.hall = HallName(line.Text("hall"));
     it.vm = VmName(line.OptionalText("vm"));
     it.slots = static_cast<int>(line.Number("slots", 1, 100000, it.slots));
     it.leaving = line.Choice("leaving", YesNo::kNo) == YesNo::kYes;
     CheckTarget(line, it);
-    out_.targets.push_back(it);
+    bundle_.targets.push_back(it);
   }
 
   static void CheckTarget(BundleLine& line, const TargetSetting& it) {
@@ -223,20 +223,20 @@
     std::string name;
   };
 
-  Bundle out_;
+  Bundle bundle_;
   bool saw_header_ = false;
   std::set<std::string> names_;
   std::vector<Reference> references_;
   std::vector<BundleProblem> problems_;
 };
 
-const std::array<Reader::Kind, 6> Reader::kKinds = {{
-    {"budget", &Reader::ReadBudget},
-    {"customer", &Reader::ReadCustomer},
-    {"model", &Reader::ReadModel},
-    {"service", &Reader::ReadService},
-    {"call", &Reader::ReadCall},
-    {"target", &Reader::ReadTarget},
+const std::array<BundleParser::Kind, 6> BundleParser::kKinds = {{
+    {"budget", &BundleParser::ReadBudget},
+    {"customer", &BundleParser::ReadCustomer},
+    {"model", &BundleParser::ReadModel},
+    {"service", &BundleParser::ReadService},
+    {"call", &BundleParser::ReadCall},
+    {"target", &BundleParser::ReadTarget},
 }};
 
 std::multiset<std::string> LinesOf(std::string_view text) {
@@ -260,7 +260,7 @@
 }
 
 leaf::result<Bundle> ReadBundle(std::string_view text) {
-  return Reader().Read(text);
+  return BundleParser().Read(text);
 }
 
 Repeat Bundle::RepeatOf(const ServiceName& service, std::string_view method,
--- a/bundle/bundle.h
+++ b/bundle/bundle.h
@@ -1,7 +1,7 @@
-// The bundle: all that operators configure, in one versioned text.
+// The bundle: everything that operators configure, in one versioned text.
 //
-// One line is one item: a kind, a name, and fields as name=value. A '#' starts
-// a comment. The first line gives the form and the version:
+// Each line is one item: a kind, a name, and fields as name=value. A '#' starts
+// a comment. The first line gives the format and the version:
 //
 //   quaytrack-bundle format=1 version=7
 //   budget clinics limit=2000000 cover=600s standing=32
@@ -13,8 +13,8 @@
 //          hall=bkk-1 slots=16 vm=vm-e1            (on one line)
 //   target forms-1 kind=service service=consent address=10.1.0.9:80 hall=bkk-1
 //
-// The text is read as a whole: every problem in it is reported with its line
-// and field, and a text with any problem is refused whole.
+// Every problem in a text is reported with its line and field, and a text with
+// any problem is rejected.
 //
 //   auto bundle = ReadBundle(text);   // error: BundleProblems
 
@@ -52,8 +52,8 @@
       {{YesNo::kYes, "yes"}, {YesNo::kNo, "no"}});
 };
 
-// Whether a call may be sent again after a failure that leaves it unknown
-// whether the first one ran.
+// Whether a call may be sent again after a failure that leaves unknown whether
+// the call ran.
 enum class Repeat { kAllowed, kNever };
 
 template <>
@@ -65,7 +65,7 @@
 struct CustomerSetting {
   CustomerName name;
   BudgetName budget;
-  // SHA-256 of the bearer key, lower-case hex; the key itself isn't kept.
+  // SHA-256 of the bearer key in lower-case hex; the key itself isn't stored.
   std::string key_sha256;
   int weight = 1;
 };
@@ -78,8 +78,9 @@
   std::int64_t max_tokens = 8192;
 };
 
-// A path of a service that must not be repeated. `path` ending in '*' covers
-// everything that starts with the rest.
+// Whether the calls of a service with this method and path may be repeated. A
+// `path` that ends in '*' matches every path that starts with the text before
+// it.
 struct CallSetting {
   std::string method;
   std::string path;
@@ -115,13 +116,14 @@
   std::map<ServiceName, ServiceSetting> services;
   std::vector<TargetSetting> targets;
 
-  // Whether this call may be repeated, by its service's call lines.
+  // Whether this call may be repeated. The service's first matching call line
+  // decides; a call without one may be repeated, one of an unknown service not.
   Repeat RepeatOf(const ServiceName& service, std::string_view method,
                   std::string_view path) const;
 };
 
-// One thing wrong with a text. `line` counts from 1; `field` is empty when the
-// line as a whole is meant.
+// One problem in a text. `line` counts from 1; `field` is empty if the problem
+// isn't in one field.
 struct BundleProblem {
   int line = 0;
   std::string field;
@@ -134,9 +136,11 @@
   std::vector<BundleProblem> list;
 };
 
+// Parses a bundle text; the error is a BundleProblems.
 boost::leaf::result<Bundle> ReadBundle(std::string_view text);
 
-// The lines that differ, "-" for those only in `before`, "+" only in `after`.
+// The lines that differ: those only in `before` with "- " in front, those only
+// in `after` with "+ ".
 std::vector<std::string> DiffBundles(std::string_view before,
                                      std::string_view after);
 
--- a/bundle/keeper.h
+++ b/bundle/keeper.h
@@ -1,10 +1,14 @@
-// BundleKeeper decides which bundle is in force at this router.
+// BundleKeeper decides which bundle is active at this router.
 //
-// A bundle is taken if its version is higher than the one in force, two
-// operators signed it, and its text reads without a problem. Where it came from
+// A bundle is accepted if its version is higher than the active one's, two
+// operators signed it, and its text parses without a problem. Its source
 // doesn't matter: the key-value service, a replayed watch event, a restored
-// snapshot, or a peer. So an old version can never come back, and to roll back
-// means to sign the old text under a higher version.
+// snapshot, or a peer. So an old version can never become active again; to roll
+// back, operators sign the old text under a higher version.
+//
+//   BundleKeeper keeper(keys);
+//   if (keeper.IsNewer(head)) keeper.Offer(head, FetchText(head));
+//   const auto bundle = keeper.bundle();
 
 #ifndef QUAYTRACK_BUNDLE_KEEPER_H_
 #define QUAYTRACK_BUNDLE_KEEPER_H_
@@ -22,14 +26,15 @@
 
 namespace quaytrack {
 
-// What is stored under the head key. The text is stored in chunks, each under
-// its own digest, as a value may not pass the service's size limit.
+// The value under the head key. The text is stored in chunks, each under its
+// digest as the key, because the service limits the size of a value.
 struct BundleHead {
   std::uint64_t version = 0;
   std::string digest;
   std::vector<std::string> chunks;
   std::vector<BundleSignature> signatures;
-  // The operator who applied it; told to whoever loses a race.
+  // The operator who applied it; shown to an operator whose concurrent change
+  // is refused.
   std::string applied_by;
 };
 
@@ -38,7 +43,7 @@
 
 inline constexpr std::size_t kBundleChunkBytes = 512 * 1024;
 
-// Cuts a text into chunks of at most `kBundleChunkBytes`.
+// Splits a text into chunks of at most `kBundleChunkBytes`.
 std::vector<std::string> CutIntoChunks(std::string_view text);
 
 enum class BundleVerdict {
@@ -65,15 +70,16 @@
  public:
   explicit BundleKeeper(OperatorKeys keys) : keys_(std::move(keys)) {}
 
-  // Whether a head is worth fetching the text for.
+  // Whether a head is newer, so that its text should be fetched.
   bool IsNewer(const BundleHead& head) const {
     return head.version > version();
   }
 
+  // Makes the bundle active if it is acceptable.
   BundleVerdict Offer(const BundleHead& head, std::string_view text);
 
   std::uint64_t version() const { return bundle_ ? bundle_->version : 0; }
-  // Null before the first bundle. Requests keep the one they began with.
+  // nullptr before the first bundle. Requests keep the one they started with.
   std::shared_ptr<const Bundle> bundle() const { return bundle_; }
 
  private:
--- a/bundle/line.cc
+++ b/bundle/line.cc
@@ -17,7 +17,7 @@
 constexpr SpanUnit kSpanUnits[] = {
     {"ms", 1}, {"s", 1000}, {"m", 60 * 1000}, {"h", 3600 * 1000}};
 
-constexpr std::int64_t kLongestSpan = 30LL * 24 * 3600 * 1000;
+constexpr std::int64_t kMaxSpanMillis = 30LL * 24 * 3600 * 1000;
 
 }  // namespace
 
@@ -57,7 +57,7 @@
 }
 
 std::string BundleLine::OptionalText(const std::string& field) {
-  asked_.insert(field);
+  read_fields_.insert(field);
   auto it = fields_.find(field);
   return it == fields_.end() ? std::string() : it->second;
 }
@@ -93,8 +93,8 @@
   for (const SpanUnit& it : kSpanUnits) {
     if (!text.ends_with(it.suffix)) continue;
     const std::string number = text.substr(0, text.size() - it.suffix.size());
-    const std::int64_t most = kLongestSpan / it.millis;
-    return std::chrono::milliseconds(ReadNumber(field, number, 0, most) *
+    const std::int64_t max = kMaxSpanMillis / it.millis;
+    return std::chrono::milliseconds(ReadNumber(field, number, 0, max) *
                                      it.millis);
   }
   Problem(field, "is '" + text + "'; allowed: a number with ms, s, m or h");
@@ -120,7 +120,7 @@
 
 void BundleLine::Finish() {
   for (const auto& [field, value] : fields_) {
-    if (!asked_.contains(field)) {
+    if (!read_fields_.contains(field)) {
       Problem(field, "is not a field of '" + kind_ + "'");
     }
   }
--- a/bundle/line.h
+++ b/bundle/line.h
@@ -1,7 +1,12 @@
 // One line of a bundle text, split into its kind, name and fields.
 //
-// `BundleLine` hands out typed fields and records a problem for each that is
-// missing, malformed or out of range; `Finish` records those nobody asked for.
+//   BundleLine line(1, "budget clinics limit=1000", problems);
+//   const auto limit = line.Number("limit", 0, 5000);
+//   line.Finish();
+//
+// `BundleLine` returns typed fields and records a problem for each that is
+// missing, malformed or out of range; `Finish` records a problem for each field
+// that wasn't read. Numbers outside [low, high] are out of range.
 
 #ifndef QUAYTRACK_BUNDLE_LINE_H_
 #define QUAYTRACK_BUNDLE_LINE_H_
@@ -36,10 +41,10 @@
                       std::int64_t high);
   std::int64_t Number(const std::string& field, std::int64_t low,
                       std::int64_t high, std::int64_t fallback);
-  // "600s", "5m", "2h" or "250ms".
+  // Reads a duration such as "600s", "5m", "2h" or "250ms".
   std::chrono::milliseconds Span(const std::string& field,
                                  std::chrono::milliseconds fallback);
-  // Comma-separated.
+  // Reads a comma-separated list.
   std::vector<std::string> List(const std::string& field);
 
   template <NamedEnum E>
@@ -57,7 +62,7 @@
   }
 
   void Problem(const std::string& field, std::string message);
-  // Records every field that was given but never asked for.
+  // Records a problem for every field that was given but not read.
   void Finish();
 
  private:
@@ -70,7 +75,7 @@
   std::string kind_;
   std::string name_;
   std::map<std::string, std::string> fields_;
-  std::set<std::string> asked_;
+  std::set<std::string> read_fields_;
   std::vector<BundleProblem>* problems_;
 };
 
--- a/bundle/signing.cc
+++ b/bundle/signing.cc
@@ -27,7 +27,7 @@
   return reinterpret_cast<const unsigned char*>(text.data());
 }
 
-// What a signature covers.
+// The message that a signature covers.
 std::string SignedText(std::uint64_t version, std::string_view text) {
   return "quaytrack-bundle " + std::to_string(version) + " " + Sha256Hex(text);
 }
@@ -49,8 +49,9 @@
                           Bytes(message), message.size()) == 1;
 }
 
-std::string RawPart(EVP_PKEY* key,
-                    int (*get)(const EVP_PKEY*, unsigned char*, std::size_t*)) {
+std::string EncodeRawKey(EVP_PKEY* key,
+                         int (*get)(const EVP_PKEY*, unsigned char*,
+                                    std::size_t*)) {
   std::array<unsigned char, kKeyLength> buf{};
   std::size_t n = buf.size();
   get(key, buf.data(), &n);
@@ -62,8 +63,8 @@
 OperatorKeyPair MakeOperatorKeyPair() {
   const Key key(EVP_PKEY_Q_keygen(nullptr, nullptr, "ED25519"));
   OperatorKeyPair out;
-  out.private_key = RawPart(key.get(), EVP_PKEY_get_raw_private_key);
-  out.public_key = RawPart(key.get(), EVP_PKEY_get_raw_public_key);
+  out.private_key = EncodeRawKey(key.get(), EVP_PKEY_get_raw_private_key);
+  out.public_key = EncodeRawKey(key.get(), EVP_PKEY_get_raw_public_key);
   return out;
 }
 
@@ -89,16 +90,16 @@
   return Base64Encode({reinterpret_cast<const char*>(buf.data()), n});
 }
 
-std::size_t CountValidSignatures(const OperatorKeys& keys,
-                                 std::uint64_t version, std::string_view text,
-                                 const std::vector<BundleSignature>& given) {
+std::size_t CountValidSignatures(
+    const OperatorKeys& keys, std::uint64_t version, std::string_view text,
+    const std::vector<BundleSignature>& signatures) {
   const std::string message = SignedText(version, text);
   std::set<std::string> signers;
-  for (const BundleSignature& it : given) {
+  for (const BundleSignature& it : signatures) {
     auto key = keys.find(it.operator_name);
     if (key == keys.end()) continue;
     if (!Verify(key->second, message, it.signature)) continue;
-    // Two names with one key are one operator.
+    // Two names with the same key count as one operator.
     signers.insert(key->second);
   }
   return signers.size();
--- a/bundle/signing.h
+++ b/bundle/signing.h
@@ -1,9 +1,10 @@
-// Sign-off of bundles: Ed25519 signatures of two different operators.
+// Signs bundles and verifies their signatures: Ed25519, two different
+// operators.
 //
 // A signature covers the version and the digest of the text, so a signed text
-// can't be presented under another version. The operators' public keys are part
-// of each router's settings and not of the bundle, as a bundle must not be able
-// to name its own signers.
+// can't be presented under another version. The operators' public keys are in
+// each router's settings and not in the bundle, as a bundle must not be able to
+// name its signers. All keys and signatures are in base64.
 
 #ifndef QUAYTRACK_BUNDLE_SIGNING_H_
 #define QUAYTRACK_BUNDLE_SIGNING_H_
@@ -19,7 +20,7 @@
 
 inline constexpr std::size_t kSignaturesNeeded = 2;
 
-// A key pair, both parts base64 of the 32 raw bytes.
+// A key pair; each key is the base64 of its 32 raw bytes.
 struct OperatorKeyPair {
   std::string private_key;
   std::string public_key;
@@ -35,15 +36,16 @@
 
 OperatorKeyPair MakeOperatorKeyPair();
 
-// Empty when `private_key` isn't a key.
+// Returns std::nullopt if `private_key` isn't a key.
 std::optional<std::string> SignBundle(const std::string& private_key,
                                       std::uint64_t version,
                                       std::string_view text);
 
-// How many different known operators validly signed this version and text.
-std::size_t CountValidSignatures(const OperatorKeys& keys,
-                                 std::uint64_t version, std::string_view text,
-                                 const std::vector<BundleSignature>& given);
+// The number of different operators in `keys` with a valid signature of this
+// version and text.
+std::size_t CountValidSignatures(
+    const OperatorKeys& keys, std::uint64_t version, std::string_view text,
+    const std::vector<BundleSignature>& signatures);
 
 }  // namespace quaytrack
 
--- a/bundle/testing/bundle_test.cc
+++ b/bundle/testing/bundle_test.cc
@@ -1,3 +1,6 @@
+// Tests that bundle texts are parsed with every problem reported, and that
+// BundleKeeper accepts only signed bundles with rising versions.
+
 #include "bundle/bundle.h"
 
 #include <rapidcheck.h>
@@ -12,7 +15,7 @@
 
 namespace leaf = boost::leaf;
 
-const std::string kGood =
+const std::string kValidText =
     "quaytrack-bundle format=1 version=7\n"
     "# a comment\n"
     "budget clinics limit=1000 cover=10m standing=8\n"
@@ -38,7 +41,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(ReadsEverything) {
-  const Bundle it = ReadBundle(kGood).value();
+  const Bundle it = ReadBundle(kValidText).value();
   BOOST_TEST(it.version == 7U);
   BOOST_TEST(it.budgets[0].limit == 1000);
   BOOST_TEST(it.budgets[0].policy.cover.count() == 600);
@@ -75,16 +78,16 @@
 };
 
 BOOST_AUTO_TEST_CASE(NamesLineAndFieldOfEveryProblem) {
-  BOOST_TEST(ProblemsOf(kGood).empty());
+  BOOST_TEST(ProblemsOf(kValidText).empty());
   constexpr int kLine = 10;
   for (const BadLine& it : kBadLines) {
-    const auto problems = ProblemsOf(kGood + it.line + "\n");
+    const auto problems = ProblemsOf(kValidText + it.line + "\n");
     BOOST_REQUIRE_MESSAGE(!problems.empty(), it.line);
     BOOST_TEST(problems[0].line == kLine, it.line);
     BOOST_TEST(problems[0].field == it.field, it.line);
   }
-  // All of them at once are all reported.
-  std::string all = kGood;
+  // A text with all the bad lines has all their problems reported.
+  std::string all = kValidText;
   for (const BadLine& it : kBadLines) all += std::string(it.line) + "\n";
   BOOST_TEST(ProblemsOf(all).size() >= std::size(kBadLines));
 }
@@ -129,22 +132,22 @@
 
 BOOST_FIXTURE_TEST_CASE(TakesOnlyNewerSignedAndWhole, KeeperFixture) {
   BundleKeeper keeper(keys);
-  const auto verdict = [&](const Signed& it) {
+  const auto decision = [&](const Signed& it) {
     return NameOf(keeper.Offer(it.head, it.text));
   };
-  BOOST_TEST(verdict(Make(3, {"ann"})) == "too_few_signatures");
-  BOOST_TEST(verdict(Make(3, {"ann", "ann"})) == "too_few_signatures");
+  BOOST_TEST(decision(Make(3, {"ann"})) == "too_few_signatures");
+  BOOST_TEST(decision(Make(3, {"ann", "ann"})) == "too_few_signatures");
   Signed forged = Make(3, {"ann", "ben"});
   forged.text += "model extra\n";
-  BOOST_TEST(verdict(forged) == "wrong_digest");
+  BOOST_TEST(decision(forged) == "wrong_digest");
   forged.head.digest = Sha256Hex(forged.text);
-  BOOST_TEST(verdict(forged) == "too_few_signatures");
+  BOOST_TEST(decision(forged) == "too_few_signatures");
   Signed raised = Make(3, {"ann", "ben"});
   raised.head.version = 9;
-  BOOST_TEST(verdict(raised) == "too_few_signatures");
-  BOOST_TEST(verdict(Make(3, {"ann", "ben"})) == "taken");
-  BOOST_TEST(verdict(Make(3, {"ann", "cat"})) == "not_newer");
-  BOOST_TEST(verdict(Make(2, {"ann", "ben", "cat"})) == "not_newer");
+  BOOST_TEST(decision(raised) == "too_few_signatures");
+  BOOST_TEST(decision(Make(3, {"ann", "ben"})) == "taken");
+  BOOST_TEST(decision(Make(3, {"ann", "cat"})) == "not_newer");
+  BOOST_TEST(decision(Make(2, {"ann", "ben", "cat"})) == "not_newer");
   BOOST_TEST(keeper.version() == 3U);
 }
 
