--- a/etcd/etcd_client.cc
+++ b/etcd/etcd_client.cc
@@ -12,13 +12,13 @@
 
 using Json = nlohmann::json;
 
-// A watch that has nothing to report is silent; it must not time out.
-constexpr Duration kWatchIdle = std::chrono::hours(1);
+// A watch without events receives no data and must not time out.
+constexpr Duration kWatchIdleTimeout = std::chrono::hours(1);
 
 EtcdEnd EndOf(const HttpResult& result) {
   switch (result.end) {
     case HttpEnd::kComplete:
-      // 5xx may come from a proxy in front of a write that took effect.
+      // A 5xx may come from a proxy although the write took effect.
       if (result.status == 200) return EtcdEnd::kOk;
       return result.status >= 500 ? EtcdEnd::kUnknown : EtcdEnd::kRefused;
     case HttpEnd::kNotSent:
@@ -38,8 +38,9 @@
   std::string partial;
   bool stopped = false;
 
-  // Takes complete lines out of `partial`; false when the watch has ended.
-  bool TakeLines() {
+  // Handles and removes the complete lines in `partial`; false if the watch has
+  // ended.
+  bool HandleLines() {
     std::size_t end = 0;
     while (!stopped && (end = partial.find('\n')) != std::string::npos) {
       const std::string line = partial.substr(0, end);
@@ -64,7 +65,7 @@
     : loop_(loop), http_(http), options_(std::move(options)) {}
 
 const std::string& EtcdClient::Endpoint() const {
-  return options_.endpoints[endpoint_ % options_.endpoints.size()];
+  return options_.endpoints[endpoint_index_ % options_.endpoints.size()];
 }
 
 void EtcdClient::Post(const std::string& path, std::string body,
@@ -80,8 +81,8 @@
   HttpCall::Handlers on;
   on.end = [this, handler = std::move(handler)](const HttpResult& result) {
     const EtcdEnd end = EndOf(result);
-    const bool dead = result.end != HttpEnd::kComplete;
-    if (dead) ++endpoint_;
+    const bool no_answer = result.end != HttpEnd::kComplete;
+    if (no_answer) ++endpoint_index_;
     handler(end, result.body);
   };
   http_.Start(std::move(request), std::move(on));
@@ -146,7 +147,7 @@
   request.path = "/v3/watch";
   request.headers = {{"Content-Type", "application/json"}};
   request.body = WatchToJson(prefix, revision);
-  request.idle_timeout = kWatchIdle;
+  request.idle_timeout = kWatchIdleTimeout;
   request.fresh_connection = true;
   HttpCall::Handlers on;
   on.data = [state](evbuffer* data) {
@@ -154,7 +155,7 @@
     const std::size_t before = state->partial.size();
     state->partial.resize(before + size);
     evbuffer_remove(data, state->partial.data() + before, size);
-    if (state->TakeLines() || state->stopped) return;
+    if (state->HandleLines() || state->stopped) return;
     state->call->Cancel();
     state->handlers.broken();
   };
--- a/etcd/etcd_client.h
+++ b/etcd/etcd_client.h
@@ -1,16 +1,19 @@
 // A client of the platform's key-value service, by the etcd v3 JSON gateway.
 //
-// Every call ends in one of three ways, and the third is why callers of this
-// client are written the way they are:
+// Every call ends in one of three ways. Callers must handle kUnknown, as the
+// call may take effect even after it has been reported:
 //
 //   kOk       answered;
-//   kRefused  answered with an error, or certainly not sent: nothing happened;
-//   kUnknown  sent, and no answer came: it may have happened, or may still.
+//   kRefused  answered with an error, or certainly not sent: had no effect;
+//   kUnknown  sent without an answer: may have had an effect, or may still.
 //
 //   EtcdTxn txn;
 //   txn.compares.push_back(EtcdCompare::Revision("k", 0));   // must not exist
 //   txn.puts.push_back({"k", "v", 0});
 //   kv.Txn(txn, [](const EtcdTxnReply& it) {...});
+//
+// It uses one endpoint at a time, and moves to the next when a call gets no
+// answer.
 
 #ifndef QUAYTRACK_ETCD_ETCD_CLIENT_H_
 #define QUAYTRACK_ETCD_ETCD_CLIENT_H_
@@ -35,7 +38,8 @@
   std::int64_t mod_revision = 0;
 };
 
-// Comparison of a key's last-change revision; 0 means that it doesn't exist.
+// Requires that a key was last modified at a revision; 0 requires that the key
+// doesn't exist.
 struct EtcdCompare {
   std::string key;
   std::int64_t mod_revision = 0;
@@ -51,8 +55,8 @@
   std::int64_t lease = 0;
 };
 
-// A key; all keys that start with it; or, with `end`, all keys from it up to
-// but without `end`.
+// Reads one key; with `prefix`, all keys that start with it; with `end`, all
+// keys from `key` (inclusive) to `end` (exclusive).
 struct EtcdGet {
   std::string key;
   bool prefix = false;
@@ -61,11 +65,11 @@
 
 struct EtcdTxn {
   std::vector<EtcdCompare> compares;
-  // Done if all comparisons hold.
+  // Executed if all comparisons hold.
   std::vector<EtcdPut> puts;
   std::vector<std::string> deletes;
   std::vector<EtcdGet> gets;
-  // Done if one doesn't.
+  // Executed otherwise.
   std::vector<EtcdGet> else_gets;
 };
 
@@ -73,14 +77,14 @@
   EtcdEnd end = EtcdEnd::kUnknown;
   bool succeeded = false;
   std::int64_t revision = 0;
-  // What each of `gets` (or `else_gets`) found.
+  // The items found by each of `gets` (or `else_gets`).
   std::vector<std::vector<EtcdItem>> found;
 };
 
 struct EtcdLeaseReply {
   EtcdEnd end = EtcdEnd::kUnknown;
   std::int64_t lease = 0;
-  // Seconds left; 0 when the lease has lapsed.
+  // Remaining seconds; 0 if the lease has expired.
   std::int64_t ttl = 0;
 };
 
@@ -98,7 +102,7 @@
   using TxnHandler = std::function<void(const EtcdTxnReply&)>;
   using LeaseHandler = std::function<void(const EtcdLeaseReply&)>;
 
-  // A running watch; ends when destroyed.
+  // A running watch; it ends when destroyed.
   class Watch {
    public:
     ~Watch();
@@ -112,7 +116,7 @@
     std::function<void(std::int64_t revision,
                        const std::vector<EtcdWatchEvent>& events)>
         events;
-    // The watch broke; whoever holds it reads again and starts a new one.
+    // The watch broke. Its owner must read the keys again and start a new one.
     std::function<void()> broken;
   };
 
@@ -122,7 +126,7 @@
   void GrantLease(std::int64_t ttl_seconds, LeaseHandler handler);
   void KeepAlive(std::int64_t lease, LeaseHandler handler);
   void RevokeLease(std::int64_t lease, std::function<void(EtcdEnd)> handler);
-  // Reports changes of keys that start with `prefix` after `revision`.
+  // Reports changes after `revision` of the keys that start with `prefix`.
   std::unique_ptr<Watch> StartWatch(const std::string& prefix,
                                     std::int64_t revision,
                                     WatchHandlers handlers);
@@ -140,8 +144,9 @@
   Loop& loop_;
   HttpClient& http_;
   Options options_;
-  // Endpoint in use; moves on when one doesn't answer.
-  std::size_t endpoint_ = 0;
+  // The endpoint in use, modulo their number; increased when a call gets no
+  // answer.
+  std::size_t endpoint_index_ = 0;
   std::uint64_t calls_ = 0;
 };
 
--- a/etcd/keys.h
+++ b/etcd/keys.h
@@ -1,9 +1,9 @@
-// Names of everything that quaytrack keeps in the key-value service.
+// Names of all keys that quaytrack uses in the key-value service.
 //
 //   const std::string key = keys::Ledger(7);   // "qt/ledger/7"
 //
-// What is stored under them is read by later versions, so none may change. All
-// begin with "qt/", beside which the service may keep other things.
+// Later versions read the values stored under them, so no name may change. All
+// start with "qt/", as the service may also have keys of other programs.
 
 #ifndef QUAYTRACK_ETCD_KEYS_H_
 #define QUAYTRACK_ETCD_KEYS_H_
@@ -31,8 +31,8 @@
   return kLedgerPrefix + std::to_string(shard);
 }
 
-// Written to ask the routers to read a ledger record out of turn; the value is
-// who asked.
+// Written to request that the routers read a ledger record immediately; the
+// value is the incarnation of the requesting router.
 inline const std::string kNeedPrefix = "qt/need/";
 inline std::string Need(int shard) {
   return kNeedPrefix + std::to_string(shard);
@@ -43,7 +43,7 @@
   return kJournalPrefix + writer.value + "/";
 }
 
-// Zero-padded, so that the batches of one router sort by number.
+// Zero-padded, so that the batches of a router sort by number.
 inline std::string Journal(const Incarnation& writer, std::uint64_t seq) {
   char buf[24];
   std::snprintf(buf, sizeof buf, "%012llu",
@@ -51,12 +51,13 @@
   return JournalOf(writer) + buf;
 }
 
-// Marks that a request with a caller's key has been billed.
+// Marker that a request with a caller's key has been billed.
 inline std::string Billed(const std::string& marker) {
   return "qt/billed/" + marker;
 }
 
-// Callers choose their keys, so they are hashed to a bounded name.
+// Callers choose their keys, so these are hashed to limit the length of the
+// name.
 inline std::string Claim(const ClaimKey& it) {
   return "qt/claim/" + it.customer.value + "/" + Sha256Hex(it.key.value);
 }
--- a/etcd/retention_lease.cc
+++ b/etcd/retention_lease.cc
@@ -3,8 +3,8 @@
 namespace quaytrack {
 namespace {
 
-constexpr Duration kCheckEvery = std::chrono::seconds(2);
-constexpr Duration kRenewAfter = std::chrono::hours(1);
+constexpr Duration kCheckInterval = std::chrono::seconds(2);
+constexpr Duration kRenewInterval = std::chrono::hours(1);
 
 }  // namespace
 
@@ -13,20 +13,21 @@
     : kv_(kv),
       clock_(clock),
       retention_(retention),
-      timer_(loop.Every(kCheckEvery, [this] { Renew(); })) {
+      timer_(loop.Every(kCheckInterval, [this] { Renew(); })) {
   Renew();
 }
 
 void RetentionLease::Renew() {
-  const bool fresh = lease_ != 0 && clock_.Now() - granted_ < kRenewAfter;
-  if (fresh || asking_) return;
-  asking_ = true;
+  const bool recent =
+      lease_ != 0 && clock_.Now() - granted_at_ < kRenewInterval;
+  if (recent || grant_pending_) return;
+  grant_pending_ = true;
   const std::chrono::seconds ttl = retention_ + std::chrono::hours(1);
   kv_.GrantLease(ttl.count(), [this](const EtcdLeaseReply& it) {
-    asking_ = false;
+    grant_pending_ = false;
     if (it.end != EtcdEnd::kOk || it.lease == 0) return;
     lease_ = it.lease;
-    granted_ = clock_.Now();
+    granted_at_ = clock_.Now();
   });
 }
 
--- a/etcd/retention_lease.h
+++ b/etcd/retention_lease.h
@@ -1,8 +1,10 @@
-// A lease that ends kept records (claims, billed markers) after the retention.
+// A lease that deletes stored records (claims, billed markers) after the
+// retention time.
 //
-// One lease is shared by everything written in an hour, so leases don't add to
-// the calls for each record. A record lives between `retention` and
-// `retention` plus an hour.
+// All records written within an hour share one lease, so that no record needs a
+// lease call of its own. A record lives between `retention` and `retention`
+// plus an hour. It relies on the loop, the service's client and the clock,
+// which must outlive it.
 
 #ifndef QUAYTRACK_ETCD_RETENTION_LEASE_H_
 #define QUAYTRACK_ETCD_RETENTION_LEASE_H_
@@ -21,7 +23,8 @@
   RetentionLease(Loop& loop, EtcdClient& kv, const Clock& clock,
                  std::chrono::hours retention);
 
-  // The lease to attach; 0 (kept without end) until the first is granted.
+  // The lease to attach to a record; 0 (the record never expires) until the
+  // first lease is granted.
   std::int64_t lease() const { return lease_; }
 
  private:
@@ -31,8 +34,8 @@
   const Clock& clock_;
   std::chrono::hours retention_;
   std::int64_t lease_ = 0;
-  Instant granted_{};
-  bool asking_ = false;
+  Instant granted_at_{};
+  bool grant_pending_ = false;
   std::unique_ptr<Timer> timer_;
 };
 
