--- a/evhttp/http_client.cc
+++ b/evhttp/http_client.cc
@@ -35,11 +35,11 @@
 
 }  // namespace
 
-// One connection and what is known of the request on it.
+// One connection and the state of the request on it.
 struct HttpCall::Connection {
   std::string address;
   evhttp_connection* handle = nullptr;
-  // A byte of the present request has been handed to the kernel.
+  // Whether a byte of the present request was handed to the kernel.
   bool write_began = false;
 
   ~Connection() {
@@ -60,8 +60,9 @@
   return out;
 }
 
-HttpClient::ConnectionPtr HttpClient::Take(const HttpRequest& request) {
-  auto& idle = idle_[request.address];
+HttpClient::ConnectionPtr HttpClient::AcquireConnection(
+    const HttpRequest& request) {
+  auto& idle = idle_connections_[request.address];
   if (!request.fresh_connection && !idle.empty()) {
     auto out = std::move(idle.back());
     idle.pop_back();
@@ -79,13 +80,13 @@
   return out;
 }
 
-void HttpClient::GiveBack(ConnectionPtr connection) {
-  auto& idle = idle_[connection->address];
-  if (idle.size() < kIdlePerAddress) {
+void HttpClient::ReturnConnection(ConnectionPtr connection) {
+  auto& idle = idle_connections_[connection->address];
+  if (idle.size() < kMaxIdlePerAddress) {
     idle.push_back(std::move(connection));
     return;
   }
-  // Freed after the current callback, as evhttp is still using it.
+  // Freed after the current callback, as evhttp still uses it.
   loop_.Post(
       [connection = std::move(connection)]() mutable { connection.reset(); });
 }
@@ -98,7 +99,7 @@
 HttpCall::~HttpCall() = default;
 
 void HttpCall::Send() {
-  connection_ = client_.Take(spec_);
+  connection_ = client_.AcquireConnection(spec_);
   if (!connection_) {
     client_.loop_.Post(
         [self = self_] { self->Finish(HttpEnd::kNotSent, nullptr); });
@@ -179,7 +180,7 @@
 void HttpCall::ReleaseConnection(bool reusable) {
   if (!connection_) return;
   if (reusable) {
-    client_.GiveBack(std::move(connection_));
+    client_.ReturnConnection(std::move(connection_));
     return;
   }
   client_.loop_.Post(
@@ -189,8 +190,8 @@
 void HttpCall::Cancel() {
   const std::shared_ptr<HttpCall> keep = std::exchange(self_, nullptr);
   if (!keep) return;
-  // This may run inside one of the handlers, and evhttp may still call back
-  // until its connection is freed. So both live until the loop's next turn.
+  // This may run inside one of the handlers, and evhttp may call back until its
+  // connection is freed. So both live until the next iteration of the loop.
   client_.loop_.Post([keep, connection = std::move(connection_)]() mutable {
     connection.reset();
     keep->handlers_ = {};
--- a/evhttp/http_client.h
+++ b/evhttp/http_client.h
@@ -1,13 +1,13 @@
-// An HTTP client on evhttp, with connections kept open for each address.
+// An HTTP client on evhttp that keeps connections open for reuse.
 //
 //   HttpCall::Handlers on;
 //   on.end = [](const HttpResult& it) {...};
 //   auto call = client.Start({"10.1.0.7:8000", "POST", "/x", {}, body}, on);
 //
-// What matters to the callers of this client is what a failure says about the
-// request. `HttpEnd::kNotSent` is reported only if no byte of it was handed to
-// the kernel; then it certainly did not run. In every other failure it may have
-// run, and the end is kBroken or kTimedOut.
+// A failure tells whether the request may have run. `HttpEnd::kNotSent` is
+// reported only if no byte of the request was handed to the kernel, so it
+// certainly did not run. In every other failure (kBroken or kTimedOut) it may
+// have run.
 
 #ifndef QUAYTRACK_EVHTTP_HTTP_CLIENT_H_
 #define QUAYTRACK_EVHTTP_HTTP_CLIENT_H_
@@ -34,10 +34,10 @@
   std::string path = "/";
   std::vector<HttpHeader> headers;
   std::string body;
-  // The call fails when nothing moves for this long.
+  // The call fails when no data is sent or received for this long.
   Duration idle_timeout = std::chrono::seconds(30);
-  // Opens a new connection, so that the server's closing of a kept one can't
-  // be mistaken for a failure of this request.
+  // Opens a new connection. A reused one may be closed by the server at any
+  // time, which can't be distinguished from a failure of this request.
   bool fresh_connection = false;
 };
 
@@ -47,7 +47,7 @@
   HttpEnd end = HttpEnd::kBroken;
   int status = 0;
   std::string content_type;
-  // Empty if a data handler took the body.
+  // Empty if a data handler received the body.
   std::string body;
 
   bool ok() const { return end == HttpEnd::kComplete && status == 200; }
@@ -55,14 +55,14 @@
 
 class HttpClient;
 
-// One call. It lives until its end is reported or it is cancelled; holders
-// other than the client only need it for `Cancel` and flow control.
+// One call. It keeps itself alive until its end is reported or it is cancelled;
+// callers need to hold it only for `Cancel` and flow control.
 class HttpCall {
  public:
   struct Handlers {
-    // The status line and headers have come.
+    // The status line and headers have been received.
     std::function<void(int status, const std::string& content_type)> head;
-    // A part of the body; may be moved out of the buffer.
+    // A piece of the body; may be moved out of the buffer.
     std::function<void(evbuffer* data)> data;
     std::function<void(const HttpResult&)> end;
   };
@@ -71,9 +71,9 @@
   HttpCall(const HttpCall&) = delete;
   HttpCall& operator=(const HttpCall&) = delete;
 
-  // Ends the call without a report, and closes its connection.
+  // Ends the call without calling the handlers, and closes its connection.
   void Cancel();
-  // Stops and restarts reading, so that a slow consumer holds back the sender.
+  // Stop and restart reading, so that a slow consumer slows down the sender.
   void PauseReading();
   void ResumeReading();
 
@@ -112,15 +112,15 @@
 
  private:
   friend class HttpCall;
-  static constexpr std::size_t kIdlePerAddress = 64;
+  static constexpr std::size_t kMaxIdlePerAddress = 64;
 
   using ConnectionPtr = std::shared_ptr<HttpCall::Connection>;
 
-  ConnectionPtr Take(const HttpRequest& request);
-  void GiveBack(ConnectionPtr connection);
+  ConnectionPtr AcquireConnection(const HttpRequest& request);
+  void ReturnConnection(ConnectionPtr connection);
 
   Loop& loop_;
-  std::map<std::string, std::vector<ConnectionPtr>> idle_;
+  std::map<std::string, std::vector<ConnectionPtr>> idle_connections_;
 };
 
 }  // namespace quaytrack
--- a/evhttp/http_server.cc
+++ b/evhttp/http_server.cc
@@ -62,7 +62,7 @@
   return bufferevent_getfd(evhttp_connection_get_bufferevent(connection));
 }
 
-// A token must not wait for the next one.
+// Otherwise a token could be delayed until the next one.
 void DisableNagle(evhttp_connection* connection) {
   const int on = 1;
   setsockopt(SocketOf(connection), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -83,13 +83,13 @@
 
 HttpExchange::~HttpExchange() {
   if (request_ != nullptr) {
-    if (started_) {
+    if (stream_started_) {
       EndStream();
     } else {
       Reply({500, "text/plain", {}, "the request was dropped\n"});
     }
   }
-  *alive_ = false;
+  *exists_ = false;
 }
 
 void HttpExchange::WatchPeer() {
@@ -109,22 +109,22 @@
   output_watch_ = nullptr;
 }
 
-void HttpExchange::Answered() {
+void HttpExchange::OnReplyEnding() {
   if (connection_ == nullptr) return;
-  server_.Follow(request_, connection_);
-  // Obeyed by evhttp also when the headers were sent before: such a stream's
-  // connection is closed after its end.
-  if (server_.closing_) SayClose();
+  server_.TrackUntilSent(request_, connection_);
+  // evhttp respects this header even if the headers were sent before: it closes
+  // the connection at the end of the stream.
+  if (server_.closing_) AddCloseHeader();
 }
 
-void HttpExchange::SayClose() {
+void HttpExchange::AddCloseHeader() {
   evkeyvalq* out = evhttp_request_get_output_headers(request_);
   evhttp_remove_header(out, "Connection");
   evhttp_add_header(out, "Connection", "close");
 }
 
 void HttpExchange::OnPeerClosed(int, short, void* self) {
-  static_cast<HttpExchange*>(self)->MarkGone();
+  static_cast<HttpExchange*>(self)->ReportGone();
 }
 
 void HttpExchange::OnClosed(evhttp_connection*, void* self) {
@@ -133,20 +133,20 @@
   it->output_watch_ = nullptr;
   if (it->close_event_ != nullptr) event_free(it->close_event_);
   it->close_event_ = nullptr;
-  // A request that is still the connection's is freed with it.
+  // A request that still belongs to the connection is freed with it.
   evhttp_request* request = it->request_;
   const bool freed =
       request != nullptr && evhttp_request_get_connection(request) != nullptr;
   if (freed) it->request_ = nullptr;
-  it->MarkGone();
+  it->ReportGone();
 }
 
-void HttpExchange::MarkGone() {
+void HttpExchange::ReportGone() {
   if (gone_) return;
   gone_ = true;
-  // Posted, as libevent is in the middle of closing the connection.
-  loop_.Post([this, alive = alive_] {
-    if (*alive && on_gone_) on_gone_();
+  // Posted, as libevent is still closing the connection.
+  loop_.Post([this, exists = exists_] {
+    if (*exists && on_gone_) on_gone_();
   });
 }
 
@@ -194,7 +194,7 @@
 void HttpExchange::Reply(const HttpReply& reply) {
   if (request_ == nullptr) return;
   StopWatching();
-  Answered();
+  OnReplyEnding();
   AddHeaders(request_, reply.content_type, reply.headers);
   evbuffer* body = evbuffer_new();
   evbuffer_add(body, reply.body.data(), reply.body.size());
@@ -205,8 +205,8 @@
 
 void HttpExchange::StartStream(int status, const std::string& content_type,
                                const std::vector<HttpHeader>& headers) {
-  started_ = true;
-  if (connection_ != nullptr && server_.closing_) SayClose();
+  stream_started_ = true;
+  if (connection_ != nullptr && server_.closing_) AddCloseHeader();
   AddHeaders(request_, content_type, headers);
   evhttp_send_reply_start(request_, status, nullptr);
   if (connection_ == nullptr) return;
@@ -219,33 +219,35 @@
   if (!WriteDirectly(data)) evhttp_send_reply_chunk(request_, data);
 }
 
-// Writes one chunk with a single system call. False if something is buffered
-// before it, or the data is in too many pieces; then nothing was written.
+// Writes one chunk with a single system call. Returns false, with nothing
+// written, if that isn't possible: bytes are buffered before it, the reply
+// isn't chunked, the data is empty or in too many pieces, or the socket accepts
+// none.
 bool HttpExchange::WriteDirectly(evbuffer* data) {
-  constexpr int kMostPieces = 6;
+  constexpr int kMaxPieces = 6;
   const std::size_t size = evbuffer_get_length(data);
-  if (Unsent() > 0 || request_->chunked == 0 || size == 0) return false;
-  std::array<iovec, kMostPieces + 2> parts;
+  if (UnsentBytes() > 0 || request_->chunked == 0 || size == 0) return false;
+  std::array<iovec, kMaxPieces + 2> iov;
   const int pieces =
-      evbuffer_peek(data, -1, nullptr, parts.data() + 1, kMostPieces);
-  if (pieces > kMostPieces) return false;
+      evbuffer_peek(data, -1, nullptr, iov.data() + 1, kMaxPieces);
+  if (pieces > kMaxPieces) return false;
   std::array<char, 24> head;
   const int head_size =
       std::snprintf(head.data(), head.size(), "%zx\r\n", size);
-  parts[0] = {head.data(), static_cast<std::size_t>(head_size)};
-  parts[static_cast<std::size_t>(pieces) + 1] = {const_cast<char*>("\r\n"), 2};
+  iov[0] = {head.data(), static_cast<std::size_t>(head_size)};
+  iov[static_cast<std::size_t>(pieces) + 1] = {const_cast<char*>("\r\n"), 2};
   const std::size_t total = static_cast<std::size_t>(head_size) + size + 2;
-  const ssize_t n = writev(SocketOf(connection_), parts.data(), pieces + 2);
+  const ssize_t n = writev(SocketOf(connection_), iov.data(), pieces + 2);
   const std::size_t sent = n > 0 ? static_cast<std::size_t>(n) : 0;
   if (sent == 0) return false;
   if (sent < total) {
-    // The rest of the chunk waits in the connection's buffer.
-    std::string rest(head.data(), static_cast<std::size_t>(head_size));
-    rest.resize(total - 2);
-    evbuffer_copyout(data, rest.data() + head_size, size);
-    rest += "\r\n";
+    // The remainder of the chunk goes to the connection's buffer.
+    std::string remainder(head.data(), static_cast<std::size_t>(head_size));
+    remainder.resize(total - 2);
+    evbuffer_copyout(data, remainder.data() + head_size, size);
+    remainder += "\r\n";
     bufferevent_write(evhttp_connection_get_bufferevent(connection_),
-                      rest.data() + sent, total - sent);
+                      remainder.data() + sent, total - sent);
   }
   evbuffer_drain(data, size);
   return true;
@@ -268,7 +270,7 @@
 void HttpExchange::EndStream() {
   if (request_ == nullptr) return;
   StopWatching();
-  Answered();
+  OnReplyEnding();
   evhttp_send_reply_end(std::exchange(request_, nullptr));
 }
 
@@ -278,7 +280,7 @@
   EndStream();
 }
 
-std::size_t HttpExchange::Unsent() const {
+std::size_t HttpExchange::UnsentBytes() const {
   if (connection_ == nullptr) return 0;
   bufferevent* bev = evhttp_connection_get_bufferevent(connection_);
   return evbuffer_get_length(bufferevent_get_output(bev));
@@ -323,11 +325,11 @@
   it->handler_(std::make_shared<HttpExchange>(it->loop_, *it, request));
 }
 
-void HttpServer::Follow(evhttp_request* request,
-                        evhttp_connection* connection) {
+void HttpServer::TrackUntilSent(evhttp_request* request,
+                                evhttp_connection* connection) {
   unsent_.insert(connection);
   evhttp_request_set_on_complete_cb(request, OnSent, this);
-  evhttp_connection_set_closecb(connection, OnLost, this);
+  evhttp_connection_set_closecb(connection, OnConnectionLost, this);
 }
 
 void HttpServer::OnSent(evhttp_request* request, void* self) {
@@ -336,7 +338,7 @@
   static_cast<HttpServer*>(self)->unsent_.erase(connection);
 }
 
-void HttpServer::OnLost(evhttp_connection* connection, void* self) {
+void HttpServer::OnConnectionLost(evhttp_connection* connection, void* self) {
   static_cast<HttpServer*>(self)->unsent_.erase(connection);
 }
 
--- a/evhttp/http_server.h
+++ b/evhttp/http_server.h
@@ -1,16 +1,16 @@
 // An HTTP server on evhttp.
 //
 // Each request becomes an `HttpExchange`, which the handler keeps until it has
-// answered, at once or as a stream:
+// answered, with a single reply or a stream:
 //
 //   server.Serve([](std::shared_ptr<HttpExchange> ex) {
 //     ex->Reply({200, "text/plain", {}, "hello\n"});
 //   });
 //
-// A caller that closes its connection, or shuts down its sending side, is
-// reported by `OnGone`. (evhttp itself doesn't read while a request is being
-// handled, so a separate close event watches the socket.) An exchange must be
-// ended even then; dropping the last reference ends it.
+// `OnGone` reports a caller that closes its connection or shuts down its
+// sending side. (evhttp doesn't read while a request is being handled, so a
+// separate close event watches the socket.) The exchange must be ended even
+// then; dropping the last reference ends it.
 
 #ifndef QUAYTRACK_EVHTTP_HTTP_SERVER_H_
 #define QUAYTRACK_EVHTTP_HTTP_SERVER_H_
@@ -27,10 +27,10 @@
 #include "net/http_message.h"
 #include "net/loop.h"
 
-// A part of a stream is written to the socket at once if nothing is buffered
-// before it. evhttp's own path buffers it, asks the loop to report the socket
-// as writable and writes on the next turn: two changes of the epoll set and a
-// turn of the loop for each token, which was a quarter of a streamed token's
+// A piece of a stream is written directly to the socket if nothing is buffered
+// before it. evhttp would buffer it, register the socket for writing and write
+// in the next iteration of the loop. For each token that costs two changes of
+// the epoll set and an iteration, which was a quarter of a streamed token's
 // cost (docs/design/token-path.md).
 
 struct evbuffer;
@@ -65,11 +65,11 @@
   // Query without the '?', as sent.
   std::string query() const;
   std::optional<std::string> Header(const char* name) const;
-  // How often a header was sent.
+  // Number of times that a header was sent.
   int HeaderCount(const char* name) const;
   std::string Body() const;
 
-  // Called once, from the loop, when the caller has gone.
+  // `action` is called once, from the loop, when the caller has disconnected.
   void OnGone(std::function<void()> action) { on_gone_ = std::move(action); }
   bool gone() const { return gone_; }
 
@@ -77,16 +77,17 @@
 
   void StartStream(int status, const std::string& content_type,
                    const std::vector<HttpHeader>& headers);
-  // Moves the contents of `data` into the stream.
+  // Sends the contents of `data` and empties it.
   void Write(evbuffer* data);
   void Write(std::string_view data);
   void EndStream();
-  // Closes the connection without an answer or an end; for stand-ins.
+  // Closes the connection without a reply or the end of a stream; for test
+  // stand-ins.
   void Abort();
 
-  // Bytes that the caller has not taken yet.
-  std::size_t Unsent() const;
-  // Called each time everything that had to be buffered has been sent.
+  // Bytes buffered because the caller reads slowly.
+  std::size_t UnsentBytes() const;
+  // `action` is called each time the buffered bytes have all been sent.
   void OnDrained(std::function<void()> action) {
     on_drained_ = std::move(action);
   }
@@ -99,24 +100,24 @@
   bool WriteDirectly(evbuffer* data);
   void WatchPeer();
   void StopWatching();
-  void Answered();
-  // Makes this answer the last of its connection.
-  void SayClose();
-  void MarkGone();
+  void OnReplyEnding();
+  // Makes this reply the last one on its connection.
+  void AddCloseHeader();
+  void ReportGone();
 
   Loop& loop_;
-  // Lives as long as the connection.
+  // Outlives the connection.
   HttpServer& server_;
   evhttp_request* request_;
   evhttp_connection* connection_;
   event* close_event_ = nullptr;
   evbuffer_cb_entry* output_watch_ = nullptr;
   bool gone_ = false;
-  bool started_ = false;
+  bool stream_started_ = false;
   std::function<void()> on_gone_;
   std::function<void()> on_drained_;
-  // Lets posted callbacks find out that the exchange has been destroyed.
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  // Tells posted callbacks whether the exchange still exists.
+  std::shared_ptr<bool> exists_ = std::make_shared<bool>(true);
 };
 
 struct HttpServerOptions {
@@ -140,23 +141,22 @@
   // Binds "host:port"; port 0 picks a free one. Returns the bound port, or 0.
   std::uint16_t Listen(const std::string& address);
 
-  // From now on every answer is the last of its connection.
+  // From now on every reply is the last one on its connection.
   void StartClosing() { closing_ = true; }
-  // Accepts no more connections; open ones go on.
+  // Accepts no further connections; open ones continue.
   void StopListening();
-  // Answers that have ended and were not yet sent to their last byte, as their
-  // callers take them slowly.
-  std::size_t Unsent() const { return unsent_.size(); }
+  // Number of finished replies that are not completely sent yet, as their
+  // callers read slowly.
+  std::size_t UnsentReplies() const { return unsent_.size(); }
 
  private:
   friend class HttpExchange;
 
   static void OnRequest(evhttp_request* request, void* self);
-  // Follows an answer that has ended until it has been sent, or its connection
-  // is lost.
-  void Follow(evhttp_request* request, evhttp_connection* connection);
+  // Tracks a finished reply until it has been sent or its connection is lost.
+  void TrackUntilSent(evhttp_request* request, evhttp_connection* connection);
   static void OnSent(evhttp_request* request, void* self);
-  static void OnLost(evhttp_connection* connection, void* self);
+  static void OnConnectionLost(evhttp_connection* connection, void* self);
 
   Loop& loop_;
   evhttp* http_;
--- a/router/forward_attempt_impl.h
+++ b/router/forward_attempt_impl.h
@@ -78,7 +78,7 @@
     }
     last_event_ = now;
   }
-  if (paused_ || exchange_->Unsent() <= kUnsentHighWater) return;
+  if (paused_ || exchange_->UnsentBytes() <= kUnsentHighWater) return;
   paused_ = true;
   call_->PauseReading();
 }
--- a/router/router.cc
+++ b/router/router.cc
@@ -334,7 +334,7 @@
       drain_timer_ = loop_.After(settings_.drain_time, [this] {
         LogEvent(Event::kDrainTimedOut,
                  {{"requests", std::to_string(requests_.size())},
-                  {"unsent", std::to_string(caller_server_.Unsent())}});
+                  {"unsent", std::to_string(caller_server_.UnsentReplies())}});
         ApplyDrain(DrainEvent::kTimeUp);
       });
       return;
@@ -363,7 +363,8 @@
 
 void Router::CheckDrain() {
   // An answer that its caller is still taking is as much in flight.
-  const bool ended = requests_.size() == 0 && caller_server_.Unsent() == 0;
+  const bool ended =
+      requests_.size() == 0 && caller_server_.UnsentReplies() == 0;
   if (drain_.state() == DrainState::kFinishing && ended) {
     ApplyDrain(DrainEvent::kRequestsEnded);
   }
