--- a/router/admin_api.h
+++ b/router/admin_api.h
@@ -1,13 +1,13 @@
-// What the balancer, operators and scrapers ask at the admin address:
+// The HTTP API at the admin address, for the balancer, operators and scrapers:
 //
 //   GET /healthz   the process runs
-//   GET /readyz    200 if this router takes new requests, else 503
-//   GET /metrics   Prometheus text
-//   GET /status    JSON: this router's budgets, targets and peers as it sees
-//   them POST /drain    starts a planned stop
+//   GET /readyz    200 if this router accepts new requests, else 503
+//   GET /metrics   metrics in Prometheus text format
+//   GET /status    JSON: budgets, targets and peers as this router sees them
+//   POST /drain    starts a planned stop
 //
-// It owns nothing: it reads the router's parts, which must outlive it, and asks
-// the router whether it is ready, in which state it is, and to stop.
+// It owns no state: it reads the router's components, which must outlive it,
+// and calls the handlers for readiness, drain state and a planned stop.
 
 #ifndef QUAYTRACK_ROUTER_ADMIN_API_H_
 #define QUAYTRACK_ROUTER_ADMIN_API_H_
@@ -29,13 +29,13 @@
 
 class AdminApi {
  public:
-  struct Parts {
+  struct Components {
     const RouterSettings& settings;
     RouterContext& context;
     const EtcdClient& kv;
     const BundleDriver& bundles;
     const RequestTable& requests;
-    // Made once the addresses are bound.
+    // Created once the addresses are bound.
     const std::unique_ptr<Membership>& members;
     const std::unique_ptr<RecoveryDriver>& recovery;
   };
@@ -45,8 +45,8 @@
     std::function<void()> drain;
   };
 
-  AdminApi(const Parts& parts, Handlers handlers)
-      : parts_(parts), handlers_(std::move(handlers)) {}
+  AdminApi(const Components& components, Handlers handlers)
+      : components_(components), handlers_(std::move(handlers)) {}
 
   void Handle(const std::shared_ptr<HttpExchange>& exchange);
 
@@ -54,7 +54,7 @@
   void UpdateGauges();
   std::string StatusJson() const;
 
-  Parts parts_;
+  Components components_;
   Handlers handlers_;
 };
 
--- a/router/bill_gate.cc
+++ b/router/bill_gate.cc
@@ -23,14 +23,14 @@
 void BillGate::Tick(Instant now) {
   std::vector<RequestId> open;
   for (const auto& [request, it] : waiting_) {
-    if (it.since + patience_ <= now) open.push_back(request);
+    if (it.since + timeout_ <= now) open.push_back(request);
   }
   Open(open, BillSafety::kUnprotected);
 }
 
 void BillGate::Open(const std::vector<RequestId>& requests, BillSafety safety) {
   for (const RequestId& it : requests) waiting_.erase(it);
-  for (const RequestId& it : requests) opened_(it, safety);
+  for (const RequestId& it : requests) on_open_(it, safety);
 }
 
 }  // namespace quaytrack
--- a/router/bill_gate.h
+++ b/router/bill_gate.h
@@ -1,9 +1,9 @@
 // Holds back the end of an answer until its bill is safe.
 //
 // A bill is safe once it is stored in the key-value service, or once the
-// recorded witness has acknowledged a copy. When neither can be had the answer
-// must not hang: after `patience` it is let go, and counted as unprotected.
-// Until the service is back such a bill exists in this router's memory only.
+// recorded witness has acknowledged a copy. If neither happens within the
+// timeout, the answer is sent anyway and counted as unprotected. Until the
+// service is reachable again such a bill exists in this router's memory only.
 
 #ifndef QUAYTRACK_ROUTER_BILL_GATE_H_
 #define QUAYTRACK_ROUTER_BILL_GATE_H_
@@ -23,12 +23,12 @@
 
 class BillGate {
  public:
-  using Opened = std::function<void(const RequestId&, BillSafety)>;
+  using OpenHandler = std::function<void(const RequestId&, BillSafety)>;
 
-  BillGate(Duration patience, Opened opened)
-      : patience_(patience), opened_(std::move(opened)) {}
+  BillGate(Duration timeout, OpenHandler on_open)
+      : timeout_(timeout), on_open_(std::move(on_open)) {}
 
-  // `request`'s bill is in batch `seq`.
+  // Waits for the bill of `request`, which is in batch `seq`.
   void Wait(Instant now, const RequestId& request, std::uint64_t seq);
   void OnWritten(std::uint64_t seq);
   void OnWitnessed(const RequestId& request);
@@ -41,8 +41,8 @@
   };
   void Open(const std::vector<RequestId>& requests, BillSafety safety);
 
-  Duration patience_;
-  Opened opened_;
+  Duration timeout_;
+  OpenHandler on_open_;
   std::map<RequestId, Waiting> waiting_;
 };
 
--- a/router/bundle_driver.cc
+++ b/router/bundle_driver.cc
@@ -8,17 +8,17 @@
 namespace quaytrack {
 namespace {
 
-constexpr Duration kReadEvery = std::chrono::seconds(3);
+constexpr Duration kReadInterval = std::chrono::seconds(3);
 
 }  // namespace
 
 BundleDriver::BundleDriver(Loop& loop, EtcdClient& kv, OperatorKeys keys,
-                           std::function<void()> taken)
+                           std::function<void()> on_accepted)
     : loop_(loop),
       kv_(kv),
       keeper_(std::move(keys)),
-      taken_(std::move(taken)),
-      read_timer_(loop.Every(kReadEvery, [this] { ReadHead(); })) {
+      on_accepted_(std::move(on_accepted)),
+      read_timer_(loop.Every(kReadInterval, [this] { ReadHead(); })) {
   loop_.Post([this] { ReadHead(); });
 }
 
@@ -39,7 +39,7 @@
       if (!it.deleted) OnHead(it.item.value);
     }
   };
-  // The next read starts a new one.
+  // The next read starts a new watch.
   on.broken = [this] { loop_.Post([this] { watch_.reset(); }); };
   watch_ = kv_.StartWatch(keys::kBundleHead, revision, std::move(on));
 }
@@ -47,18 +47,18 @@
 void BundleDriver::OnHead(const std::string& text) {
   const auto head = DecodeHead(text);
   if (!head || !keeper_.IsNewer(*head)) return;
-  if (head->version == fetching_) return;
+  if (head->version == fetching_version_) return;
   Fetch(*head);
 }
 
 void BundleDriver::Fetch(const BundleHead& head) {
-  fetching_ = head.version;
+  fetching_version_ = head.version;
   EtcdTxn txn;
   for (const std::string& it : head.chunks) {
     txn.gets.push_back({keys::BundleChunk(it)});
   }
   kv_.Txn(txn, [this, head](const EtcdTxnReply& reply) {
-    fetching_ = 0;
+    fetching_version_ = 0;
     if (reply.end != EtcdEnd::kOk) return;
     std::string text;
     for (const auto& it : reply.found) {
@@ -74,7 +74,7 @@
   if (verdict == BundleVerdict::kTaken) {
     LogEvent(Event::kBundleTaken,
              {{"version", version}, {"applied_by", head.applied_by}});
-    taken_();
+    on_accepted_();
     return;
   }
   if (verdict == BundleVerdict::kNotNewer || refused_ == head.version) return;
--- a/router/bundle_driver.h
+++ b/router/bundle_driver.h
@@ -1,7 +1,8 @@
-// Brings bundles from the key-value service to the BundleKeeper.
+// Fetches bundles from the key-value service for the BundleKeeper.
 //
-// A watch on the head reports a new version at once; a read every few seconds
-// finds what a broken watch missed. The text's chunks are fetched by digest.
+// A watch on the head reports a new version immediately; a read every few
+// seconds finds what a broken watch missed. The chunks of the text are fetched
+// by digest. It owns the BundleKeeper and the watch.
 
 #ifndef QUAYTRACK_ROUTER_BUNDLE_DRIVER_H_
 #define QUAYTRACK_ROUTER_BUNDLE_DRIVER_H_
@@ -17,9 +18,9 @@
 
 class BundleDriver {
  public:
-  // `taken` is called after each bundle that comes into force.
+  // `on_accepted` is called after each bundle that comes into force.
   BundleDriver(Loop& loop, EtcdClient& kv, OperatorKeys keys,
-               std::function<void()> taken);
+               std::function<void()> on_accepted);
 
   const BundleKeeper& keeper() const { return keeper_; }
 
@@ -33,12 +34,12 @@
   Loop& loop_;
   EtcdClient& kv_;
   BundleKeeper keeper_;
-  std::function<void()> taken_;
+  std::function<void()> on_accepted_;
   std::unique_ptr<EtcdClient::Watch> watch_;
   std::unique_ptr<Timer> read_timer_;
-  // Version being fetched, so that one is fetched once.
-  std::uint64_t fetching_ = 0;
-  // Version refused last, so that it is logged once.
+  // Version being fetched; prevents a second fetch of it.
+  std::uint64_t fetching_version_ = 0;
+  // Last refused version; prevents logging it again.
   std::uint64_t refused_ = 0;
 };
 
--- a/router/caller_api.cc
+++ b/router/caller_api.cc
@@ -90,8 +90,8 @@
 
 RequestBasics CallerApi::MakeBasics(CallerHeaders headers) {
   RequestBasics out;
-  out.request =
-      RequestId(context_.self.value + "-" + std::to_string(++minted_));
+  out.request = RequestId(context_.self.value + "-" +
+                          std::to_string(++last_request_number_));
   out.arrived = context_.Now();
   out.deadline = out.arrived + (headers.deadline ? Duration(*headers.deadline)
                                                  : default_deadline_);
@@ -149,7 +149,7 @@
   basics.worst_case = service->second.price;
   basics.attempt_timeout = service->second.timeout;
   basics.repeatable =
-      repeat == Repeat::kAllowed && !basics.headers.never_repeat;
+      repeat == Repeat::kAllowed && !basics.headers.must_not_repeat;
   basics.needs_claim = !basics.repeatable && !basics.headers.key.empty();
   basics.digest =
       Sha256Hex(call.method + " " + path + "\n" + call.path + "\n" + call.body);
--- a/router/caller_api.h
+++ b/router/caller_api.h
@@ -1,6 +1,7 @@
-// What callers can ask for: model calls, the list of models, service calls.
+// The HTTP API for callers: model calls, the list of models, service calls.
 //
-// Reads and checks each request, and starts a Forward for it.
+// It parses and validates each request, and starts a Forward for it
+// (router/forward.h). Requests that fail validation are answered here.
 
 #ifndef QUAYTRACK_ROUTER_CALLER_API_H_
 #define QUAYTRACK_ROUTER_CALLER_API_H_
@@ -18,15 +19,15 @@
 
 class CallerApi {
  public:
-  // `default_deadline` is for requests that bring none.
+  // `default_deadline` is for requests without a deadline.
   CallerApi(RouterContext& context, RequestTable& requests,
             Duration default_deadline);
 
   void SetBundle(std::shared_ptr<const Bundle> bundle) {
     bundle_ = std::move(bundle);
   }
-  // While draining, new requests are refused.
-  void StopTaking() { stopping_ = true; }
+  // Refuses all further requests, for a planned stop.
+  void StopAccepting() { stopping_ = true; }
 
   void Handle(const std::shared_ptr<HttpExchange>& exchange);
 
@@ -47,7 +48,7 @@
   Duration default_deadline_;
   std::shared_ptr<const Bundle> bundle_;
   bool stopping_ = false;
-  std::uint64_t minted_ = 0;
+  std::uint64_t last_request_number_ = 0;
 };
 
 }  // namespace quaytrack
--- a/router/charts.h
+++ b/router/charts.h
@@ -2,8 +2,9 @@
 //
 //   BOOST_LEAF_AUTO(charts, BindRouterCharts());
 //
-// Bound once, at start, and kept until the last request has ended; a chart that
-// doesn't fit its enums is an error then, and the process doesn't start.
+// They are bound once, at start, and kept until the last request has ended. A
+// chart that doesn't match its enums is an error, and the process doesn't
+// start.
 
 #ifndef QUAYTRACK_ROUTER_CHARTS_H_
 #define QUAYTRACK_ROUTER_CHARTS_H_
@@ -16,7 +17,7 @@
 
 namespace quaytrack {
 
-// The life of one request: chart/charts/forward.json.
+// States, events and actions of one request (chart/charts/forward.json).
 enum class ForwardState {
   kReceived,
   kClaiming,
@@ -105,7 +106,7 @@
 
 using ForwardChart = Chart<ForwardState, ForwardEvent, ForwardAction>;
 
-// All charts of the router; bound once, at start.
+// All charts of the router.
 struct RouterCharts {
   ForwardChart forward;
   ClaimChart claim;
--- a/router/claim_driver.cc
+++ b/router/claim_driver.cc
@@ -15,7 +15,8 @@
   if (items.empty()) return out;
   out.exists = true;
   out.revision = items[0].mod_revision;
-  // What can't be read may be anything: it counts as taken, never run again.
+  // A claim that can't be decoded counts as claimed, so its call never runs
+  // again.
   ClaimEntry unreadable;
   unreadable.state = ClaimState::kUnknown;
   out.entry = DecodeClaim(items[0].value).value_or(unreadable);
@@ -54,28 +55,28 @@
       kv_(kv),
       clock_(clock),
       retention_(retention),
-      book_(self, ClaimOptions{.group_delay = kGroupDelay}, chart),
+      tracker_(self, ClaimOptions{.group_delay = kGroupDelay}, chart),
       handler_(std::move(handler)),
-      timer_(loop.Every(kTick, [this] { Pump(); })) {}
+      tick_timer_(loop.Every(kTick, [this] { Pump(); })) {}
 
 void ClaimDriver::Kick() {
-  if (group_) return;
-  // A little after the group's delay, so that the group is due.
-  group_ = loop_.After(kGroupDelay + std::chrono::microseconds(200),
-                       [this] { Pump(); });
+  if (group_timer_) return;
+  // Slightly longer than the group delay, so that the group is due.
+  group_timer_ = loop_.After(kGroupDelay + std::chrono::microseconds(200),
+                             [this] { Pump(); });
 }
 
 void ClaimDriver::Pump() {
-  group_.reset();
-  if (auto commit = book_.Next(clock_.Now())) Perform(*commit);
-  for (const ClaimEvent& it : book_.TakeEvents()) handler_(it);
+  group_timer_.reset();
+  if (auto commit = tracker_.Next(clock_.Now())) Perform(*commit);
+  for (const ClaimEvent& it : tracker_.TakeEvents()) handler_(it);
 }
 
 void ClaimDriver::Perform(const ClaimCommit& commit) {
   kv_.Txn(ToTxn(commit, retention_.lease()), [this](const EtcdTxnReply& reply) {
     std::vector<FoundClaim> found;
     for (const auto& it : reply.found) found.push_back(ToFound(it));
-    book_.OnCommit(clock_.Now(), OutcomeOf(reply), reply.revision, found);
+    tracker_.OnCommit(clock_.Now(), OutcomeOf(reply), reply.revision, found);
     Pump();
   });
 }
--- a/router/claim_driver.h
+++ b/router/claim_driver.h
@@ -1,13 +1,13 @@
 // Runs ClaimBook (claim/claim.h) against the key-value service.
 //
-//   claims.book().Begin(now, key, digest, request, wall_ms);
-//   claims.Kick();                  // events go to the handler, later
+//   claims.tracker().Begin(now, key, digest, request, wall_ms);
+//   claims.Kick();                  // events reach the handler later
 //
-// It owns the book, and the timers that make a group of claims due. A write
-// without an answer is told to the book as unknown, and is written again. A
-// stored claim that can't be read counts as taken, so that its call never runs
-// again. Relies on the loop, the service's client and the retention lease,
-// which must outlive it.
+// It owns the ClaimBook and the timers that start the writes. A write without a
+// reply is reported to the ClaimBook as unknown and is repeated. A stored claim
+// that can't be decoded counts as claimed, so that its call never runs again.
+// It relies on the loop, the service's client and the retention lease, which
+// must outlive it.
 
 #ifndef QUAYTRACK_ROUTER_CLAIM_DRIVER_H_
 #define QUAYTRACK_ROUTER_CLAIM_DRIVER_H_
@@ -31,10 +31,10 @@
               const RetentionLease& retention, const Incarnation& self,
               const ClaimChart& chart, EventHandler handler);
 
-  ClaimBook& book() { return book_; }
-  const ClaimBook& book() const { return book_; }
+  ClaimBook& tracker() { return tracker_; }
+  const ClaimBook& tracker() const { return tracker_; }
 
-  // Looks for something to do soon; call after using `book()`.
+  // Schedules a write of pending claims; call after using `tracker()`.
   void Kick();
 
  private:
@@ -45,10 +45,10 @@
   EtcdClient& kv_;
   const Clock& clock_;
   const RetentionLease& retention_;
-  ClaimBook book_;
+  ClaimBook tracker_;
   EventHandler handler_;
-  std::unique_ptr<Timer> timer_;
-  std::unique_ptr<Timer> group_;
+  std::unique_ptr<Timer> tick_timer_;
+  std::unique_ptr<Timer> group_timer_;
 };
 
 }  // namespace quaytrack
--- a/router/context.h
+++ b/router/context.h
@@ -1,6 +1,6 @@
-// What a request needs of the router that serves it: the router's parts, by
-// reference, and three things that only the router as a whole can do. Owned by
-// the Router, and outlives every request.
+// The components of the router that its requests use, by reference, and three
+// callbacks into the Router. The Router owns the context, which outlives every
+// request.
 
 #ifndef QUAYTRACK_ROUTER_CONTEXT_H_
 #define QUAYTRACK_ROUTER_CONTEXT_H_
@@ -40,16 +40,17 @@
   PeerDriver& peers;
   const ForwardChart& chart;
   Incarnation self;
-  // Queues by group; made on first use.
+  // Wait queues by group; each is created on first use.
   std::map<GroupName, WaitQueue>& queues;
-  // Addresses by target, of the bundle in force.
+  // Addresses by target. Removed targets keep theirs, as requests in flight may
+  // need it.
   std::map<TargetName, std::string>& addresses;
-  // Whether the router that holds a claim is proven dead.
+  // Whether the router that owns a claim is proven dead.
   std::function<bool(const ClaimEntry&)> owner_is_dead;
-  // A target may have room: let waiting requests go.
-  std::function<void(const GroupName&)> room_in;
-  // The request has ended and can be forgotten.
-  std::function<void(const RequestId&)> ended;
+  // A target may have room: assigns waiting requests to targets.
+  std::function<void(const GroupName&)> on_capacity;
+  // The request has ended and can be removed.
+  std::function<void(const RequestId&)> on_request_ended;
 
   Instant Now() const { return clock.Now(); }
 };
--- a/router/forward.h
+++ b/router/forward.h
@@ -1,21 +1,22 @@
-// One request on its way: from a caller, through claim, budget and queue, to a
-// target, and its answer back. chart/charts/forward.json is the map; this class
-// does what each arrow says.
+// One forwarded request: takes it from a caller through claim, budget and queue
+// to a target, and returns the answer. Its states and transitions are in
+// chart/charts/forward.json; this class implements their actions.
 //
 //   auto it = std::make_shared<Forward<ModelJob>>(context, exchange, basics,
 //                                                 std::move(job));
 //   it->Start();
 //
-// Its parts: the claim (router/request_claim.h), the budget
-// (router/request_budget.h), and the job, which is all that differs between
-// model calls and service calls (router/forward_job.h). It owns the caller's
-// exchange and the attempt at a target, and keeps itself alive while one of
-// them can still report. Every request ends in one of three ways: its answer, a
-// refusal (router/refusal.h), or nothing because its caller left before it was
-// sent; then it has no hold, no claim and no place in a queue.
+// It consists of the claim (router/request_claim.h), the budget
+// (router/request_budget.h), and the job, which has all code that differs
+// between model calls and service calls (router/forward_job.h). It owns the
+// caller's exchange and the attempt at a target, and keeps itself alive while
+// one of them can still report. Every request ends in one of three ways: with
+// its answer, with a refusal (router/refusal.h), or without a reply because its
+// caller disconnected before it was sent. In the last case it leaves no hold,
+// no claim and no queue entry behind.
 //
-// router/forward_impl.h has the way up to a target and the end,
-// router/forward_attempt_impl.h the attempts and what follows from each.
+// router/forward_impl.h implements the steps before a target is chosen and the
+// end of a request, router/forward_attempt_impl.h the attempts at targets.
 
 #ifndef QUAYTRACK_ROUTER_FORWARD_H_
 #define QUAYTRACK_ROUTER_FORWARD_H_
@@ -44,27 +45,27 @@
   void Start();
   void Refuse(Refusal refusal);
 
-  // Events from the rest of the router.
+  // Events from other components of the router.
   void OnHoldGranted() { Apply(ForwardEvent::kHoldGranted); }
-  void OnHoldRefused(HoldRefusal why) { Refuse(budget_.RefusalFor(why)); }
+  void OnHoldRefused(HoldRefusal reason) { Refuse(budget_.RefusalFor(reason)); }
   void OnClaimWon();
   void OnClaimAnswer(const ClaimAnswer& answer);
-  // Takes a target if one has room; false if none has.
+  // Takes a target that has room; false if none has.
   bool TryAssign();
   void OnQueueExpired(Duration retry_after);
   void OnTargetUnresponsive(const TargetName& target);
   void OnBillSafe(BillSafety safety);
   void OnClaimStored();
-  // The time that a planned stop leaves for requests is over: ends this one,
-  // and tells its caller what may have run of it. Its bill may follow.
-  void OnTimeUp();
+  // The time that a planned stop allows for requests is over: ends this one,
+  // and reports to its caller whether it may have run. A bill may follow.
+  void OnDrainDeadline();
   void Tick(Instant now);
 
   ForwardState state() const { return machine_.state(); }
 
  private:
   void Apply(ForwardEvent event);
-  void Do(ForwardAction action);
+  void Perform(ForwardAction action);
 
   void Claim();
   void Hold();
@@ -74,13 +75,13 @@
   void OnHead(int status);
   void OnData(evbuffer* data);
   void OnEnd(const HttpResult& result);
-  void GiveUpAttempt();
+  void TimeOutAttempt();
   void RefuseUnsent();
-  void CutAttempt();
+  void AbortAttempt();
   void OnAttemptFailed(const HttpResult& result, AnswerKind kind);
   void ReleaseTarget(TargetOutcome outcome);
   void SettleAs(Tokens cost);
-  void FinishWhenStored();
+  void FinishIfStored();
   void ReplyRefusal();
   void Abandon();
   void Cancel();
@@ -97,9 +98,9 @@
   RequestHistograms histograms_;
 
   std::shared_ptr<HttpCall> call_;
-  std::optional<TargetIndex> chosen_;
-  TargetName target_;
-  std::set<TargetName> tried_;
+  std::optional<TargetIndex> target_index_;
+  TargetName target_name_;
+  std::set<TargetName> tried_targets_;
   Instant queued_at_{};
   Instant sent_at_{};
   Instant last_event_{};
@@ -107,10 +108,11 @@
   bool paused_ = false;
   bool bill_safe_ = false;
   Instant settled_at_{};
-  bool sent_once_ = false;
-  bool time_up_ = false;
+  bool was_sent_ = false;
+  bool past_drain_deadline_ = false;
   bool answered_ = false;
-  // An answer that is given instead of the target's.
+  // Answer to send: a stored one of an earlier call, or the error that the
+  // target reported.
   std::optional<KeptAnswer> replay_;
   Refusal refusal_;
 };
--- a/router/forward_attempt_impl.h
+++ b/router/forward_attempt_impl.h
@@ -1,6 +1,6 @@
-// Member functions of Forward that concern an attempt at a target: sending the
-// call, passing the answer on, and what follows from each end of an attempt.
-// Included by router/forward.h only.
+// Member functions of Forward for an attempt at a target: sending the call,
+// relaying the answer, and handling each way in which an attempt ends. Included
+// by router/forward.h only.
 
 #ifndef QUAYTRACK_ROUTER_FORWARD_ATTEMPT_IMPL_H_
 #define QUAYTRACK_ROUTER_FORWARD_ATTEMPT_IMPL_H_
@@ -11,23 +11,23 @@
 
 namespace quaytrack {
 
-// Bytes. A caller that takes less than it is sent is buffered up to this; then
-// reading from the target stops until the buffer has drained. Not measured.
+// Bytes. When more than this is buffered for a slow caller, reading from the
+// target pauses until the buffer has drained.
 inline constexpr std::size_t kUnsentHighWater = 16 * 1024;
-// Attempts at different targets for one request. Not measured.
-inline constexpr std::size_t kMostAttempts = 3;
-// How long to wait for an engine's count of a cancelled request. Not measured.
-inline constexpr Duration kCancelPatience = std::chrono::seconds(1);
+// Per request, each at a different target.
+inline constexpr std::size_t kMaxAttempts = 3;
+// Maximum wait for an engine's usage report of a cancelled request.
+inline constexpr Duration kCancelTimeout = std::chrono::seconds(1);
 
 template <ForwardJob Job>
 void Forward<Job>::Send() {
   sent_at_ = context_.Now();
   histograms_.queue_wait->Observe(ToSeconds(sent_at_ - queued_at_));
-  target_ = context_.targets.Spec(*chosen_).name;
-  tried_.insert(target_);
-  context_.targets.OnSent(sent_at_, *chosen_);
-  sent_once_ = true;
-  HttpRequest request = job_.Request(context_.addresses[target_]);
+  target_name_ = context_.targets.Spec(*target_index_).name;
+  tried_targets_.insert(target_name_);
+  context_.targets.OnSent(sent_at_, *target_index_);
+  was_sent_ = true;
+  HttpRequest request = job_.Request(context_.addresses[target_name_]);
   request.headers.push_back({kRequestIdHeader, basics_.request.value});
   request.headers.push_back({"X-Customer", basics_.headers.customer.value});
   request.headers.push_back(
@@ -37,7 +37,8 @@
   }
   request.idle_timeout = basics_.attempt_timeout;
   request.fresh_connection = !basics_.repeatable;
-  // Told before the target is, so that no request runs unknown to the witness.
+  // The witness is notified before the target, so that it knows of every
+  // request that may run.
   if (Job::kCancellable || !basics_.repeatable) {
     context_.peers.OnIntent(
         job_.MakeIntent(request.address, budget_.MakeBill(basics_.worst_case)));
@@ -86,12 +87,12 @@
 template <ForwardJob Job>
 void Forward<Job>::OnEnd(const HttpResult& result) {
   call_.reset();
-  const AnswerKind kind = job_.Judge(result);
+  const AnswerKind kind = job_.Classify(result);
   if (kind == AnswerKind::kComplete) {
     ReleaseTarget(TargetOutcome::kOk);
     return Apply(ForwardEvent::kAnswerComplete);
   }
-  if (kind == AnswerKind::kPassedOn) {
+  if (kind == AnswerKind::kRejected) {
     ReleaseTarget(TargetOutcome::kOk);
     replay_ =
         KeptAnswer{result.status, result.content_type, result.body, false};
@@ -104,7 +105,7 @@
 void Forward<Job>::OnAttemptFailed(const HttpResult& result, AnswerKind kind) {
   const bool overloaded = kind == AnswerKind::kOverloaded;
   const bool not_run = overloaded || result.end == HttpEnd::kNotSent;
-  LogEvent(Event::kTargetFailed, {{"target", target_.value},
+  LogEvent(Event::kTargetFailed, {{"target", target_name_.value},
                                   {"request", basics_.request.value},
                                   {"status", std::to_string(result.status)},
                                   {"ran", not_run ? "no" : "unknown"}});
@@ -116,7 +117,7 @@
     return Apply(ForwardEvent::kAnswerBroke);
   }
   const bool may_retry = (not_run || basics_.repeatable) &&
-                         tried_.size() < kMostAttempts &&
+                         tried_targets_.size() < kMaxAttempts &&
                          context_.Now() < basics_.deadline;
   if (may_retry && context_.retries.TryRetry()) {
     context_.metrics.CountRetry();
@@ -125,26 +126,29 @@
   if (not_run) {
     const RefusalCode code =
         overloaded ? RefusalCode::kOverloaded : RefusalCode::kTargetFailed;
-    return Refuse({code, "target '" + target_.value + "' didn't take the call",
+    return Refuse({code,
+                   "target '" + target_name_.value + "' didn't take the call",
                    "", kShortRetryAfter});
   }
-  refusal_ = {RefusalCode::kOutcomeUnknown,
-              "target '" + target_.value + "' failed; the call may have run",
-              "", kShortRetryAfter};
-  // A call that may be repeated is repeated by its caller, and billed then.
+  refusal_ = {
+      RefusalCode::kOutcomeUnknown,
+      "target '" + target_name_.value + "' failed; the call may have run", "",
+      kShortRetryAfter};
+  // A repeatable call is billed when its caller repeats it.
   Apply(basics_.repeatable ? ForwardEvent::kRefused
                            : ForwardEvent::kAnswerBroke);
 }
 
 template <ForwardJob Job>
 void Forward<Job>::OnTargetUnresponsive(const TargetName& target) {
-  const bool waits_there = state() == ForwardState::kSent && target_ == target;
-  if (waits_there && basics_.repeatable) GiveUpAttempt();
+  const bool waiting_there =
+      state() == ForwardState::kSent && target_name_ == target;
+  if (waiting_there && basics_.repeatable) TimeOutAttempt();
 }
 
-// Ends an attempt that has not begun to answer.
+// Ends an attempt whose answer has not started, as timed out.
 template <ForwardJob Job>
-void Forward<Job>::GiveUpAttempt() {
+void Forward<Job>::TimeOutAttempt() {
   if (call_) call_->Cancel();
   call_.reset();
   HttpResult timed_out;
@@ -152,10 +156,10 @@
   OnAttemptFailed(timed_out, AnswerKind::kFailed);
 }
 
-// Ends an attempt that may have run, and doesn't try again. A model call is
-// cancelled as if its caller had left, since then its engine tells what ran.
+// Ends an attempt that may have run, without a retry. A model call is cancelled
+// as if its caller had disconnected, since its engine then reports the usage.
 template <ForwardJob Job>
-void Forward<Job>::CutAttempt() {
+void Forward<Job>::AbortAttempt() {
   refusal_ = {RefusalCode::kOutcomeUnknown,
               "this router stopped before the answer was whole", "",
               kShortRetryAfter};
@@ -163,20 +167,20 @@
   if (call_) call_->Cancel();
   call_.reset();
   ReleaseTarget(TargetOutcome::kCancelled);
-  // A call that may be repeated is repeated by its caller, and billed then.
+  // A repeatable call is billed when its caller repeats it.
   Apply(basics_.repeatable ? ForwardEvent::kRefused
                            : ForwardEvent::kAnswerBroke);
 }
 
 template <ForwardJob Job>
 void Forward<Job>::ReleaseTarget(TargetOutcome outcome) {
-  if (!chosen_) return;
-  chosen_.reset();
+  if (!target_index_) return;
+  target_index_.reset();
   const Instant now = context_.Now();
-  if (context_.targets.OnEnd(now, target_, outcome, now - sent_at_)) {
-    LogEvent(Event::kBreakerOpened, {{"target", target_.value}});
+  if (context_.targets.OnEnd(now, target_name_, outcome, now - sent_at_)) {
+    LogEvent(Event::kBreakerOpened, {{"target", target_name_.value}});
   }
-  context_.room_in(basics_.group);
+  context_.on_capacity(basics_.group);
 }
 
 template <ForwardJob Job>
@@ -184,16 +188,16 @@
   if (call_) call_->Cancel();
   call_.reset();
   ReleaseTarget(TargetOutcome::kCancelled);
-  if (!time_up_) {
+  if (!past_drain_deadline_) {
     LogEvent(Event::kCallerGone, {{"request", basics_.request.value}});
   }
   HttpRequest request =
-      job_.CancelRequest(context_.addresses[target_], basics_.request);
-  request.idle_timeout = kCancelPatience;
+      job_.CancelRequest(context_.addresses[target_name_], basics_.request);
+  request.idle_timeout = kCancelTimeout;
   HttpCall::Handlers on;
   on.end = [self = this->shared_from_this()](const HttpResult& result) {
     self->job_.OnCancelled(result);
-    self->SettleAs(self->job_.CostIfCut());
+    self->SettleAs(self->job_.CostIfIncomplete());
   };
   context_.http.Start(std::move(request), std::move(on));
 }
--- a/router/forward_impl.h
+++ b/router/forward_impl.h
@@ -1,6 +1,6 @@
-// Member functions of Forward that concern the way to a target and the end of a
-// request. They are templates of its job, so they stand in a header; it is
-// included by router/forward.h only, which says what Forward is for.
+// Member functions of Forward for the steps before a target is chosen and for
+// the end of a request. They are templates on the job, hence in a header, which
+// only router/forward.h includes; see there for what Forward does.
 
 #ifndef QUAYTRACK_ROUTER_FORWARD_IMPL_H_
 #define QUAYTRACK_ROUTER_FORWARD_IMPL_H_
@@ -12,9 +12,9 @@
 
 namespace quaytrack {
 
-// How long a claim may take to be written before the caller is refused, and its
-// end before the answer is let go (docs/design/claims.md). Not measured.
-inline constexpr Duration kClaimPatience = std::chrono::milliseconds(1500);
+// Maximum time to write a claim before the caller is refused, and to write its
+// end before the answer is sent without it (docs/design/claims.md).
+inline constexpr Duration kClaimTimeout = std::chrono::milliseconds(1500);
 
 template <ForwardJob Job>
 Forward<Job>::Forward(RouterContext& context,
@@ -35,9 +35,9 @@
   exchange_->OnGone([weak = this->weak_from_this()] {
     const auto self = weak.lock();
     if (!self) return;
-    // A call that must not be repeated goes on to its end, so that its answer
-    // is there when the caller asks again.
-    const bool sent = self->sent_once_;
+    // A call that can't be cancelled runs to its end, so that its answer is
+    // stored for a retry of the caller.
+    const bool sent = self->was_sent_;
     if (sent && !Job::kCancellable) return;
     self->Apply(ForwardEvent::kCallerGone);
   });
@@ -48,11 +48,11 @@
 template <ForwardJob Job>
 void Forward<Job>::Apply(ForwardEvent event) {
   const auto keep = this->shared_from_this();
-  Do(machine_.Apply(event));
+  Perform(machine_.Apply(event));
 }
 
 template <ForwardJob Job>
-void Forward<Job>::Do(ForwardAction action) {
+void Forward<Job>::Perform(ForwardAction action) {
   switch (action) {
     case ForwardAction::kNone:
       return;
@@ -69,11 +69,11 @@
       return job_.Begin(*exchange_);
     case ForwardAction::kSettle:
       answered_ = true;
-      if (claim_.owned()) claim_.OnRan(job_.Kept());
+      if (claim_.owned()) claim_.OnRan(job_.AnswerToStore());
       return SettleAs(job_.Cost());
     case ForwardAction::kSettleBroken:
-      claim_.OnLost();
-      return SettleAs(job_.CostIfCut());
+      claim_.OnOutcomeUnknown();
+      return SettleAs(job_.CostIfIncomplete());
     case ForwardAction::kCancel:
       return Cancel();
     case ForwardAction::kRefuse:
@@ -139,9 +139,10 @@
   const bool first =
       queue == context_.queues.end() || queue->second.size() == 0;
   if (first && TryAssign()) return;
-  if (!tried_.empty()) {
+  if (!tried_targets_.empty()) {
     return Refuse({RefusalCode::kTargetFailed,
-                   "the call failed at " + std::to_string(tried_.size()) +
+                   "the call failed at " +
+                       std::to_string(tried_targets_.size()) +
                        " target(s) and no other has room",
                    "", kShortRetryAfter});
   }
@@ -155,9 +156,9 @@
 
 template <ForwardJob Job>
 bool Forward<Job>::TryAssign() {
-  chosen_ = context_.targets.Choose(context_.Now(), basics_.group,
-                                    basics_.prefix_hash, tried_);
-  if (!chosen_) return false;
+  target_index_ = context_.targets.Choose(context_.Now(), basics_.group,
+                                          basics_.prefix_hash, tried_targets_);
+  if (!target_index_) return false;
   Apply(ForwardEvent::kTargetFound);
   return true;
 }
@@ -218,19 +219,19 @@
     LogEvent(Event::kBillUnprotected, {{"request", basics_.request.value}});
   }
   bill_safe_ = true;
-  FinishWhenStored();
+  FinishIfStored();
 }
 
-// A caller that has its answer may ask again at once, at any router; the kept
-// answer must be there by then.
+// A caller that has its answer may retry immediately, at any router; so the
+// answer is stored before it is sent.
 template <ForwardJob Job>
 void Forward<Job>::OnClaimStored() {
   claim_.OnStored();
-  FinishWhenStored();
+  FinishIfStored();
 }
 
 template <ForwardJob Job>
-void Forward<Job>::FinishWhenStored() {
+void Forward<Job>::FinishIfStored() {
   if (bill_safe_ && !claim_.storing()) Apply(ForwardEvent::kBillStored);
 }
 
@@ -256,14 +257,14 @@
   exchange_->Reply(ReplyFor(refusal_));
 }
 
-// Gives back whatever was taken; nothing of this request ran, or it may be
+// Releases the queue entry, hold and claim; the call did not run, or it may be
 // repeated.
 template <ForwardJob Job>
 void Forward<Job>::Abandon() {
   auto queue = context_.queues.find(basics_.group);
   if (queue != context_.queues.end()) queue->second.Remove(basics_.request);
   budget_.Release();
-  if (sent_once_) context_.peers.OnRelease(basics_.request);
+  if (was_sent_) context_.peers.OnRelease(basics_.request);
   claim_.Withdraw();
   End();
 }
@@ -284,7 +285,7 @@
   histograms_.total->Observe(ToSeconds(context_.Now() - basics_.arrived));
   if (LogEnabled(Event::kRequestFinished)) {
     LogEvent(Event::kRequestFinished, {{"request", basics_.request.value},
-                                       {"target", target_.value},
+                                       {"target", target_name_.value},
                                        {"whole", answered_ ? "yes" : "no"}});
   }
   End();
@@ -292,28 +293,28 @@
 
 template <ForwardJob Job>
 void Forward<Job>::End() {
-  context_.ended(basics_.request);
+  context_.on_request_ended(basics_.request);
 }
 
-// --- A planned stop's end --------------------------------------------------
+// --- End of a planned stop -------------------------------------------------
 
 template <ForwardJob Job>
-void Forward<Job>::OnTimeUp() {
+void Forward<Job>::OnDrainDeadline() {
   const bool ends_itself =
       state() == ForwardState::kStoring || state() == ForwardState::kEnded;
   if (ends_itself) return;
-  time_up_ = true;
+  past_drain_deadline_ = true;
   const bool sent =
       state() == ForwardState::kSent || state() == ForwardState::kAnswering;
   LogEvent(Event::kDrainTimedOut, {{"request", basics_.request.value},
                                    {"ran", sent ? "unknown" : "no"}});
-  if (sent) return CutAttempt();
+  if (sent) return AbortAttempt();
   RefuseUnsent();
 }
 
 template <ForwardJob Job>
 void Forward<Job>::RefuseUnsent() {
-  // It waits for another call with its key, which may have run.
+  // This request waits for another call with its key, which may have run.
   const bool joined = state() == ForwardState::kClaiming && claim_.joined();
   if (joined) {
     return Refuse({RefusalCode::kInProgress,
@@ -327,10 +328,10 @@
 
 template <ForwardJob Job>
 void Forward<Job>::Tick(Instant now) {
-  const bool late = now >= basics_.deadline;
+  const bool past_deadline = now >= basics_.deadline;
   if (state() == ForwardState::kClaiming) {
-    const bool too_long = now - basics_.arrived >= kClaimPatience;
-    if (late || (too_long && !claim_.joined())) {
+    const bool timed_out = now - basics_.arrived >= kClaimTimeout;
+    if (past_deadline || (timed_out && !claim_.joined())) {
       Refuse({RefusalCode::kClaimsUnavailable,
               "the call could not be claimed; it was not run", "",
               kOutageRetryAfter});
@@ -338,9 +339,9 @@
     return;
   }
   const bool stuck =
-      claim_.storing() && bill_safe_ && now - settled_at_ >= kClaimPatience;
+      claim_.storing() && bill_safe_ && now - settled_at_ >= kClaimTimeout;
   if (state() == ForwardState::kStoring && stuck) return OnClaimStored();
-  if (state() == ForwardState::kSent && late) GiveUpAttempt();
+  if (state() == ForwardState::kSent && past_deadline) TimeOutAttempt();
 }
 
 }  // namespace quaytrack
--- a/router/forward_job.h
+++ b/router/forward_job.h
@@ -1,9 +1,9 @@
-// What differs between the requests that a router forwards: the job.
+// The interface of the call-specific code of a forwarded request: the job.
 //
 // ModelJob (router/model_job.h) and ServiceJob (router/service_job.h) satisfy
-// ForwardJob; Forward (router/forward.h) does the rest for both. A job builds
-// the call for a target, passes a stream on, judges the answer, and knows what
-// it costs. It owns the call and the answer, and never waits or decides when
+// ForwardJob; Forward (router/forward.h) is the common code. A job builds the
+// call for a target, relays a stream, classifies the answer, and knows its cost
+// in prepaid tokens. It owns the call and the answer. Forward decides when
 // something is sent.
 
 #ifndef QUAYTRACK_ROUTER_FORWARD_JOB_H_
@@ -23,38 +23,40 @@
 
 namespace quaytrack {
 
-// What a target's answer means.
+// Classification of a target's answer.
 enum class AnswerKind {
-  kComplete,    // the caller's answer
-  kPassedOn,    // an error that is the caller's own; nothing ran
-  kOverloaded,  // refused for lack of room; nothing ran
-  kFailed,      // an error, or an answer that is cut short
+  kComplete,    // a normal answer for the caller
+  kRejected,    // rejected for an error of the caller; nothing ran
+  kOverloaded,  // refused for lack of capacity; nothing ran
+  kFailed,      // an error or an incomplete answer
 };
 
-// The part of a request that depends on its kind.
+// Call-specific code of a request.
 template <class J>
 concept ForwardJob = requires(J job, const std::string& address,
                               const HttpResult& result, evbuffer* data,
                               HttpExchange& exchange, int status) {
   { job.Request(address) } -> std::same_as<HttpRequest>;
-  // The answer goes to the caller while it arrives.
+  // Whether the answer is streamed to the caller.
   { job.streams() } -> std::same_as<bool>;
   { job.Begin(exchange) } -> std::same_as<void>;
-  // Passes data on; returns how many events it had.
+  // Relays data to the caller; returns the number of events relayed.
   { job.Relay(data, exchange) } -> std::same_as<int>;
-  { job.Judge(result) } -> std::same_as<AnswerKind>;
-  // Cost of a complete answer, and of one that was cut short.
+  { job.Classify(result) } -> std::same_as<AnswerKind>;
+  // Cost of a complete and of an incomplete answer.
   { job.Cost() } -> std::same_as<Tokens>;
-  { job.CostIfCut() } -> std::same_as<Tokens>;
-  // Sends what was held back.
+  { job.CostIfIncomplete() } -> std::same_as<Tokens>;
+  // Sends a complete answer, or the held-back end of a stream.
   { job.Deliver(exchange) } -> std::same_as<void>;
-  { job.Kept() } -> std::same_as<KeptAnswer>;
-  // Whether it is ended when its caller leaves; then, how to ask the target
-  // what had run, and what to make of the answer.
+  // The answer to store for retries.
+  { job.AnswerToStore() } -> std::same_as<KeptAnswer>;
+  // Whether the call is cancelled when its caller disconnects. If so:
+  // CancelRequest builds the request that ends it at the target, and
+  // OnCancelled takes the usage from the reply.
   { J::kCancellable } -> std::convertible_to<bool>;
   { job.CancelRequest(address, RequestId()) } -> std::same_as<HttpRequest>;
   { job.OnCancelled(result) } -> std::same_as<void>;
-  // What a witness must know to find out what this request cost.
+  // What a witness needs to determine the cost of this request.
   { job.MakeIntent(address, Bill()) } -> std::same_as<Intent>;
 };
 
--- a/router/json_check.h
+++ b/router/json_check.h
@@ -1,5 +1,5 @@
-// Checks a JSON text for what parsers accept silently: nesting without bound
-// and the same field twice in one object.
+// Checks a JSON text for faults that parsers silently accept: unlimited nesting
+// and duplicate fields in an object.
 //
 //   if (const auto fault = CheckJson(body)) return Refuse(fault->field, ...);
 
@@ -19,7 +19,7 @@
   std::string message;
 };
 
-// Empty if the text is JSON and has neither fault.
+// Empty if the text is valid JSON and has neither fault.
 std::optional<JsonFault> CheckJson(std::string_view text);
 
 }  // namespace quaytrack
--- a/router/ledger_codec.h
+++ b/router/ledger_codec.h
@@ -1,6 +1,6 @@
-// How ledger records and commits look in the key-value service: which keys a
-// commit compares, writes and creates (etcd/keys.h). A record that can't be
-// read is taken as an empty one. Pure functions.
+// Converts ledger records and commits to key-value transactions and back
+// (key names: etcd/keys.h). A record that can't be decoded is read as an empty
+// one. Pure functions.
 
 #ifndef QUAYTRACK_ROUTER_LEDGER_CODEC_H_
 #define QUAYTRACK_ROUTER_LEDGER_CODEC_H_
@@ -13,7 +13,7 @@
 
 namespace quaytrack {
 
-// A record as found, or an empty one if its key doesn't exist.
+// The record that was read, or an empty one if its key doesn't exist.
 ShardState ShardFromKv(int shard, const std::vector<EtcdItem>& found);
 
 // The transaction that writes a commit whose batch belongs to `writer`.
--- a/router/ledger_driver.cc
+++ b/router/ledger_driver.cc
@@ -58,7 +58,7 @@
 }
 
 void LedgerDriver::Read(const ReadShards& read) {
-  // One transaction without comparisons is one snapshot.
+  // A single transaction without comparisons reads one snapshot.
   EtcdTxn txn;
   for (int it : read.shards) txn.gets.push_back({keys::Ledger(it)});
   for (const std::string& it : read.markers) {
@@ -113,7 +113,7 @@
   };
   on.broken = [this] {
     LogEvent(Event::kWatchRestarted, {{"prefix", keys::kNeedPrefix}});
-    // Whatever was said meanwhile has been missed.
+    // Changes during the interruption were missed.
     watch_retry_ = loop_.After(kWatchRetry, [this] {
       sync_.Refresh();
       StartWatch();
--- a/router/ledger_driver.h
+++ b/router/ledger_driver.h
@@ -1,13 +1,13 @@
 // Runs the cycle of LedgerSync (ledger/sync.h) against the key-value service.
 //
 //   ledger.sync().Hold(now, request, budget, amount);
-//   ledger.Kick();                  // events go to the handler, later
+//   ledger.Kick();                  // events reach the handler later
 //
-// It owns the LedgerSync, the tick that drives it, and a watch on the small
-// `need` keys by which other routers ask for a record to be read. A call
-// without an answer is told as unknown; a watch that breaks is started anew,
-// and all records are read, as something may have been missed. Loss and return
-// of the service are logged. Relies on the loop, the service's client and the
+// It owns the LedgerSync, the timer that drives it, and a watch on the `need`
+// keys, by which other routers request that a record is read. A call without a
+// reply is reported as unknown. When the watch breaks it is restarted and all
+// records are read, as changes may have been missed. Loss and recovery of the
+// service are logged. It relies on the loop, the service's client and the
 // retention lease, which must outlive it.
 
 #ifndef QUAYTRACK_ROUTER_LEDGER_DRIVER_H_
@@ -35,7 +35,7 @@
   LedgerSync& sync() { return sync_; }
   const LedgerSync& sync() const { return sync_; }
 
-  // Looks for something to do soon; call after using `sync()`.
+  // Schedules the next step of the cycle; call after using `sync()`.
   void Kick();
 
  private:
@@ -59,7 +59,7 @@
   std::unique_ptr<Timer> watch_retry_;
   bool kicked_ = false;
   bool was_reachable_ = false;
-  // Newest revision seen; where a new watch starts.
+  // Newest revision seen; a new watch starts after it.
   std::int64_t revision_ = 0;
 };
 
--- a/router/load_poller.cc
+++ b/router/load_poller.cc
@@ -8,9 +8,9 @@
 
 using Json = nlohmann::json;
 
-constexpr Duration kPollEvery = std::chrono::milliseconds(500);
+constexpr Duration kPollInterval = std::chrono::milliseconds(500);
 constexpr Duration kPollTimeout = std::chrono::seconds(1);
-constexpr int kMissedToGiveUp = 2;
+constexpr int kMaxMissedPolls = 2;
 
 }  // namespace
 
@@ -19,13 +19,13 @@
                        std::function<void(const TargetName&)> unresponsive)
     : http_(http),
       clock_(clock),
-      book_(targets),
-      unresponsive_(std::move(unresponsive)),
-      timer_(loop.Every(kPollEvery, [this] { PollAll(); })) {}
+      target_table_(targets),
+      on_unresponsive_(std::move(unresponsive)),
+      timer_(loop.Every(kPollInterval, [this] { PollAll(); })) {}
 
 void LoadPoller::PollAll() {
   for (const Polled& it : targets_) {
-    if (open_.insert(it.name).second) Poll(it);
+    if (pending_.insert(it.name).second) Poll(it);
   }
 }
 
@@ -36,7 +36,7 @@
   request.idle_timeout = kPollTimeout;
   HttpCall::Handlers on;
   on.end = [this, name = target.name](const HttpResult& result) {
-    open_.erase(name);
+    pending_.erase(name);
     if (result.ok()) {
       OnReport(name, result);
     } else {
@@ -47,23 +47,24 @@
 }
 
 void LoadPoller::OnMissed(const TargetName& name) {
-  if (++missed_[name] < kMissedToGiveUp) return;
-  book_.SetResponsive(name, false);
-  unresponsive_(name);
+  if (++missed_polls_[name] < kMaxMissedPolls) return;
+  target_table_.SetResponsive(name, false);
+  on_unresponsive_(name);
 }
 
 void LoadPoller::OnReport(const TargetName& name, const HttpResult& result) {
-  missed_.erase(name);
-  book_.SetResponsive(name, true);
+  missed_polls_.erase(name);
+  target_table_.SetResponsive(name, true);
   const Json json = Json::parse(result.body, nullptr, false);
   if (!json.is_object()) return;
   const auto count = [&](const char* field) {
     const bool ok = json.contains(field) && json[field].is_number_unsigned();
     return ok ? json[field].get<int>() : 0;
   };
-  book_.OnLoadReport(clock_.Now(), name, {count("running"), count("queued")});
+  target_table_.OnLoadReport(clock_.Now(), name,
+                             {count("running"), count("queued")});
   const bool leaving = json.contains("leaving") && json["leaving"] == true;
-  book_.SetLeaving(name, LeavingCause::kTarget, leaving);
+  target_table_.SetLeaving(name, LeavingCause::kTarget, leaving);
 }
 
 }  // namespace quaytrack
--- a/router/load_poller.h
+++ b/router/load_poller.h
@@ -1,9 +1,10 @@
-// Asks engines for their load, so that the TargetBook knows what other routers
-// have sent them. Reports are late by their nature; the book ages them.
+// Polls engines for their load, so that the TargetBook accounts for the
+// requests that other routers have sent to them. Reports are always somewhat
+// outdated; the TargetBook takes their age into account.
 //
-// An engine that doesn't answer two polls in a row is frozen or cut off. It
-// gets no new work until it answers, and requests that wait there for their
-// first byte are told, so that they can go elsewhere.
+// An engine that doesn't answer two polls in a row is frozen or unreachable. It
+// gets no new requests until it answers, and the callback `unresponsive` lets
+// requests that wait there for their first byte move to another target.
 
 #ifndef QUAYTRACK_ROUTER_LOAD_POLLER_H_
 #define QUAYTRACK_ROUTER_LOAD_POLLER_H_
@@ -44,13 +45,13 @@
 
   HttpClient& http_;
   const Clock& clock_;
-  TargetBook& book_;
+  TargetBook& target_table_;
   std::vector<Polled> targets_;
-  std::function<void(const TargetName&)> unresponsive_;
-  // Polls in a row that each target left unanswered.
-  std::map<TargetName, int> missed_;
-  // Targets whose last poll is not answered.
-  std::set<TargetName> open_;
+  std::function<void(const TargetName&)> on_unresponsive_;
+  // Number of consecutive unanswered polls, by target.
+  std::map<TargetName, int> missed_polls_;
+  // Targets with a poll in progress.
+  std::set<TargetName> pending_;
   std::unique_ptr<Timer> timer_;
 };
 
--- a/router/membership.cc
+++ b/router/membership.cc
@@ -8,11 +8,11 @@
 namespace quaytrack {
 namespace {
 
-constexpr Duration kKeepLeaseEvery = std::chrono::seconds(3);
-// The watch brings changes; a full read only finds what a watch missed. It
-// grows with the fleet, so it is rare while there is a watch.
-constexpr Duration kReadRegistryEvery = std::chrono::seconds(5);
-constexpr Duration kReadWatchedRegistryEvery = std::chrono::seconds(30);
+constexpr Duration kLeaseRenewInterval = std::chrono::seconds(3);
+// A full read finds what a watch missed. Its size grows with the fleet, so it
+// is rare while there is a watch.
+constexpr Duration kRegistryReadInterval = std::chrono::seconds(5);
+constexpr Duration kWatchedRegistryReadInterval = std::chrono::seconds(30);
 constexpr Duration kVmListTimeout = std::chrono::seconds(2);
 
 }  // namespace
@@ -26,23 +26,24 @@
       options_(std::move(options)),
       handlers_(std::move(handlers)),
       vms_(options_.tracker),
-      lease_timer_(loop.Every(kKeepLeaseEvery, [this] { KeepLease(); })),
-      read_timer_(loop.Every(kReadRegistryEvery, [this] { ReadRegistry(); })),
+      lease_timer_(loop.Every(kLeaseRenewInterval, [this] { RenewLease(); })),
+      read_timer_(
+          loop.Every(kRegistryReadInterval, [this] { ReadRegistry(); })),
       vm_timer_(loop.Every(options_.vm_poll, [this] { PollVmList(); })) {
   loop_.Post([this] {
-    KeepLease();
+    RenewLease();
     ReadRegistry();
     PollVmList();
   });
 }
 
-void Membership::KeepLease() {
-  if (lease_call_open_ || leaving_) return;
-  lease_call_open_ = true;
+void Membership::RenewLease() {
+  if (lease_call_pending_ || leaving_) return;
+  lease_call_pending_ = true;
   if (lease_ == 0) {
     kv_.GrantLease(options_.lease_ttl.count(),
                    [this](const EtcdLeaseReply& it) {
-                     lease_call_open_ = false;
+                     lease_call_pending_ = false;
                      if (it.end != EtcdEnd::kOk) return;
                      lease_ = it.lease;
                      Register();
@@ -50,12 +51,12 @@
     return;
   }
   kv_.KeepAlive(lease_, [this](const EtcdLeaseReply& it) {
-    lease_call_open_ = false;
-    // A lapsed lease took the registration with it.
-    const bool lapsed = it.end == EtcdEnd::kOk && it.ttl == 0;
-    if (!lapsed) return;
+    lease_call_pending_ = false;
+    // The registration was deleted with the expired lease.
+    const bool expired = it.end == EtcdEnd::kOk && it.ttl == 0;
+    if (!expired) return;
     lease_ = 0;
-    KeepLease();
+    RenewLease();
   });
 }
 
@@ -64,11 +65,11 @@
   txn.puts.push_back({keys::Router(options_.self.incarnation),
                       EncodeRouter(options_.self), lease_});
   kv_.Txn(txn, [this](const EtcdTxnReply& it) {
-    if (it.end != EtcdEnd::kOk || created_ != 0) return;
-    created_ = it.revision;
+    if (it.end != EtcdEnd::kOk || created_revision_ != 0) return;
+    created_revision_ = it.revision;
     LogEvent(Event::kRegistered,
              {{"incarnation", options_.self.incarnation.value}});
-    handlers_.registered(created_);
+    handlers_.registered(created_revision_);
   });
 }
 
@@ -84,7 +85,7 @@
 
 void Membership::ReadRegistry() {
   const Instant now = clock_.Now();
-  if (watch_ && now - last_read_ < kReadWatchedRegistryEvery) return;
+  if (watch_ && now - last_read_ < kWatchedRegistryReadInterval) return;
   EtcdTxn txn;
   txn.gets.push_back({keys::kRouterPrefix, true});
   kv_.Txn(txn, [this](const EtcdTxnReply& reply) {
@@ -119,14 +120,14 @@
     }
     handlers_.changed();
   };
-  // The next read starts a new one.
+  // The next read starts a new watch.
   on.broken = [this] { loop_.Post([this] { watch_.reset(); }); };
   watch_ = kv_.StartWatch(keys::kRouterPrefix, revision, std::move(on));
 }
 
 void Membership::PollVmList() {
-  if (options_.vm_list_address.empty() || vm_call_open_) return;
-  vm_call_open_ = true;
+  if (options_.vm_list_address.empty() || vm_call_pending_) return;
+  vm_call_pending_ = true;
   HttpRequest request;
   request.address = options_.vm_list_address;
   request.path = options_.vm_list_path;
@@ -137,7 +138,7 @@
 }
 
 void Membership::OnVmList(const HttpResult& result) {
-  vm_call_open_ = false;
+  vm_call_pending_ = false;
   const auto list = result.ok() ? DecodeVmList(result.body) : std::nullopt;
   if (list.has_value() != vm_list_ok_) {
     vm_list_ok_ = list.has_value();
--- a/router/membership.h
+++ b/router/membership.h
@@ -1,12 +1,12 @@
 // This router's registration, the other routers, and the VM list.
 //
-// The registration is a key under a lease that is kept alive; if the
-// lease lapses, the router registers again under a new one. The others are
-// known from a watch on their keys, and a full read now and then that finds
-// what a watch missed. The VM list is polled. It owns the registry and the VM
-// tracker (member/registry.h, member/vm_tracker.h), which draw the conclusions;
-// a call that fails leaves them as they are, and a VM list that is lost or back
-// is logged.
+// The registration is a key under a lease that is renewed periodically; if the
+// lease expires, the router registers again under a new one. The other routers
+// are known from a watch on their keys, and from an occasional full read that
+// finds what the watch missed. The VM list is polled. Membership owns the
+// registry and the VM tracker (member/registry.h, member/vm_tracker.h), which
+// decide which routers are dead. A failed call leaves both unchanged. Loss and
+// recovery of the VM list are logged.
 
 #ifndef QUAYTRACK_ROUTER_MEMBERSHIP_H_
 #define QUAYTRACK_ROUTER_MEMBERSHIP_H_
@@ -28,7 +28,7 @@
  public:
   struct Options {
     RouterEntry self;
-    // Empty when there is no VM list.
+    // Empty if there is no VM list.
     std::string vm_list_address;
     std::string vm_list_path = "/vms";
     Duration vm_poll = std::chrono::milliseconds(500);
@@ -36,9 +36,9 @@
     VmTrackerOptions tracker;
   };
   struct Handlers {
-    // Registered at this revision.
+    // Called once, after the first registration, with its revision.
     std::function<void(std::int64_t created)> registered;
-    // The set of routers or of VMs changed.
+    // Called after each update of the routers or the VM list.
     std::function<void()> changed;
   };
 
@@ -49,16 +49,16 @@
   const VmTracker& vms() const { return vms_; }
   const RouterEntry& self() const { return options_.self; }
 
-  // Shown to operators in the registration.
+  // Publishes the bundle version in the registration, for operators.
   void SetBundleVersion(std::uint64_t version);
 
-  // Takes the registration back, for a planned stop.
+  // Removes the registration, for a planned stop.
   void Leave();
 
   bool ProvenDead(const Incarnation& incarnation, std::int64_t created) const;
 
  private:
-  void KeepLease();
+  void RenewLease();
   void Register();
   void ReadRegistry();
   void StartWatch(std::int64_t revision);
@@ -74,9 +74,9 @@
   RouterRegistry registry_;
   VmTracker vms_;
   std::int64_t lease_ = 0;
-  std::int64_t created_ = 0;
-  bool lease_call_open_ = false;
-  bool vm_call_open_ = false;
+  std::int64_t created_revision_ = 0;
+  bool lease_call_pending_ = false;
+  bool vm_call_pending_ = false;
   bool vm_list_ok_ = true;
   bool leaving_ = false;
   Instant last_read_{};
--- a/router/metrics.cc
+++ b/router/metrics.cc
@@ -5,7 +5,8 @@
 namespace quaytrack {
 namespace {
 
-// Seconds. Dense around the goals: 0.87 s to the first token, 29 ms between.
+// Seconds. The buckets are dense around the latency goals: 0.87 s to the first
+// token, 29 ms between tokens.
 const prometheus::Histogram::BucketBoundaries kFirstTokenBuckets = {
     0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.6, 0.87, 1.2, 2, 5, 15, 60};
 const prometheus::Histogram::BucketBoundaries kBetweenBuckets = {
@@ -58,17 +59,17 @@
           "Answers finished before their bill was stored anywhere else")) {}
 
 std::string Metrics::LabelFor(const CustomerName& customer) {
-  auto it = labels_.find(customer);
-  if (it != labels_.end()) return it->second;
-  if (labels_.size() >= kMostCustomers) return "other";
-  labels_[customer] = customer.value;
+  auto it = customer_labels_.find(customer);
+  if (it != customer_labels_.end()) return it->second;
+  if (customer_labels_.size() >= kMaxLabeledCustomers) return "other";
+  customer_labels_[customer] = customer.value;
   return customer.value;
 }
 
 RequestHistograms Metrics::For(const CustomerName& customer,
                                PriorityClass priority) {
   const std::string label = LabelFor(customer);
-  auto [it, inserted] = cache_.try_emplace({label, priority});
+  auto [it, inserted] = histograms_.try_emplace({label, priority});
   if (!inserted) return it->second;
   const prometheus::Labels labels = {{"customer", label},
                                      {"class", std::string(NameOf(priority))}};
--- a/router/metrics.h
+++ b/router/metrics.h
@@ -1,8 +1,8 @@
 // The router's metrics, by prometheus-cpp.
 //
-// Histograms are kept for each customer and class. To bound what a scrape
-// costs, the first `kMostCustomers` customers get labels of their own and the
-// rest share "other".
+// There is a histogram per customer and priority class. To limit the size of a
+// scrape, the first `kMaxLabeledCustomers` customers get their own label and
+// all others share "other".
 
 #ifndef QUAYTRACK_ROUTER_METRICS_H_
 #define QUAYTRACK_ROUTER_METRICS_H_
@@ -24,7 +24,7 @@
 
 namespace quaytrack {
 
-// The histograms of one customer and class.
+// The histograms of one customer and priority class.
 struct RequestHistograms {
   prometheus::Histogram* first_token = nullptr;
   prometheus::Histogram* between_tokens = nullptr;
@@ -43,11 +43,11 @@
   void CountUnprotectedBill() { unprotected_->Increment(); }
   void SetGauge(const std::string& name, double value);
 
-  // The text form that a scrape returns.
+  // The metrics in Prometheus text format.
   std::string Text() const;
 
  private:
-  static constexpr std::size_t kMostCustomers = 200;
+  static constexpr std::size_t kMaxLabeledCustomers = 200;
   using HistogramFamily = prometheus::Family<prometheus::Histogram>;
 
   std::string LabelFor(const CustomerName& customer);
@@ -63,8 +63,9 @@
   prometheus::Counter* billed_tokens_;
   prometheus::Counter* retries_;
   prometheus::Counter* unprotected_;
-  std::map<std::pair<std::string, PriorityClass>, RequestHistograms> cache_;
-  std::map<CustomerName, std::string> labels_;
+  std::map<std::pair<std::string, PriorityClass>, RequestHistograms>
+      histograms_;
+  std::map<CustomerName, std::string> customer_labels_;
 };
 
 }  // namespace quaytrack
--- a/router/model_job.cc
+++ b/router/model_job.cc
@@ -10,7 +10,7 @@
 namespace quaytrack {
 namespace {
 
-// Bytes a token has on average, for requests whose engine never told.
+// Average prompt bytes per token; used when the engine reported no usage.
 constexpr std::int64_t kBytesPerToken = 4;
 
 const char* PathOf(ModelCallKind kind) {
@@ -47,12 +47,12 @@
   return events;
 }
 
-AnswerKind ModelJob::Judge(const HttpResult& result) {
+AnswerKind ModelJob::Classify(const HttpResult& result) {
   if (result.end != HttpEnd::kComplete) return AnswerKind::kFailed;
   if (result.status == 429 || result.status == 503) {
     return AnswerKind::kOverloaded;
   }
-  if (result.status >= 400 && result.status < 500) return AnswerKind::kPassedOn;
+  if (result.status >= 400 && result.status < 500) return AnswerKind::kRejected;
   if (result.status != 200) return AnswerKind::kFailed;
   if (call_.stream) {
     usage_ = relay_.usage();
@@ -74,13 +74,13 @@
 
 Tokens ModelJob::Cost() const {
   if (usage_) return PriceOf(*usage_);
-  // A complete answer whose engine reported nothing is billed at its worst
-  // case, as anything less might let spending pass the budget unseen.
+  // A complete answer without a usage report is billed at its worst case, as
+  // a lower amount could let spending exceed the budget unnoticed.
   LogEvent(Event::kUsageMissing, {{"model", call_.model.value}});
   return call_.WorstCase(prices_);
 }
 
-Tokens ModelJob::CostIfCut() const {
+Tokens ModelJob::CostIfIncomplete() const {
   return PriceOf(usage_ ? *usage_ : Estimate());
 }
 
--- a/router/model_job.h
+++ b/router/model_job.h
@@ -1,9 +1,9 @@
-// The part of a request that is particular to model calls (ForwardJob).
+// The call-specific code of model calls (ForwardJob).
 //
 // Builds the call for an engine, relays its stream (router/sse_relay.h), and
-// turns the usage that the engine reports into tokens by the prices that the
-// request was admitted under. An answer that is cut short costs what was
-// relayed, unless the engine tells more when it is asked to cancel.
+// converts the usage that the engine reports into prepaid tokens, at the prices
+// under which the request was admitted. An incomplete answer is billed by the
+// events relayed, unless the engine reports its usage when it is cancelled.
 
 #ifndef QUAYTRACK_ROUTER_MODEL_JOB_H_
 #define QUAYTRACK_ROUTER_MODEL_JOB_H_
@@ -23,18 +23,18 @@
  public:
   static constexpr bool kCancellable = true;
 
-  // Prices are those of the bundle that the request was admitted under.
+  // `prices` are from the bundle under which the request was admitted.
   ModelJob(ModelCall call, ModelSetting prices);
 
   HttpRequest Request(const std::string& address);
   bool streams() const { return call_.stream; }
   void Begin(HttpExchange& exchange);
   int Relay(evbuffer* data, HttpExchange& exchange);
-  AnswerKind Judge(const HttpResult& result);
+  AnswerKind Classify(const HttpResult& result);
   Tokens Cost() const;
-  Tokens CostIfCut() const;
+  Tokens CostIfIncomplete() const;
   void Deliver(HttpExchange& exchange);
-  KeptAnswer Kept() const { return {}; }
+  KeptAnswer AnswerToStore() const { return {}; }
   HttpRequest CancelRequest(const std::string& address,
                             const RequestId& request) const;
   void OnCancelled(const HttpResult& result);
@@ -47,7 +47,7 @@
   ModelCall call_;
   ModelSetting prices_;
   SseRelay relay_;
-  // Reused for every part of the stream.
+  // Reused for each piece of the stream.
   std::unique_ptr<evbuffer, void (*)(evbuffer*)> out_;
   std::optional<Usage> usage_;
   HttpResult answer_;
--- a/router/peer_codec.h
+++ b/router/peer_codec.h
@@ -3,10 +3,11 @@
 //   link->Send(EncodePeerMessage(HelloMessage{self}));
 //   if (const auto message = DecodePeerMessage(bytes)) ...
 //
-// A link begins with the owner's hello; then the owner sends what a witness
-// must know (ledger/witness.h), and the witness acknowledges. Each message is a
-// map with its type under "t"; old and new routers speak it, so fields may be
-// added and never change their meaning. Pure functions.
+// The owner of a link first sends a hello; then it sends its updates for the
+// witness (ledger/witness.h), and the witness acknowledges them. Each message
+// is a map with its type under "t". Routers of different versions exchange
+// these messages, so fields may be added but must never change their meaning.
+// Pure functions.
 
 #ifndef QUAYTRACK_ROUTER_PEER_CODEC_H_
 #define QUAYTRACK_ROUTER_PEER_CODEC_H_
@@ -35,7 +36,7 @@
 
 std::string EncodePeerMessage(const PeerMessage& message);
 
-// Empty when `bytes` isn't a message.
+// Empty if `bytes` isn't a valid message.
 std::optional<PeerMessage> DecodePeerMessage(const std::string& bytes);
 
 }  // namespace quaytrack
--- a/router/peer_driver.cc
+++ b/router/peer_driver.cc
@@ -7,8 +7,8 @@
 namespace quaytrack {
 namespace {
 
-constexpr Duration kReconnectAfter = std::chrono::milliseconds(300);
-constexpr int kFailuresToGiveUp = 3;
+constexpr Duration kReconnectDelay = std::chrono::milliseconds(300);
+constexpr int kMaxFailedAttempts = 3;
 
 }  // namespace
 
@@ -53,7 +53,7 @@
     return;
   }
   store_.OnMessage(owner.name, std::get<WitnessMessage>(*message));
-  owner.link->Send(EncodePeerMessage(AckMessage{++owner.stored}));
+  owner.link->Send(EncodePeerMessage(AckMessage{++owner.stored_count}));
 }
 
 // --- As an owner -------------------------------------------------------------
@@ -62,19 +62,19 @@
                             const RouterEntry& self) {
   registry_ = &registry;
   self_entry_ = self;
-  if (!registry.entries().contains(witness_)) Choose();
+  if (!registry.entries().contains(witness_)) ChooseWitness();
 }
 
-void PeerDriver::Choose() {
-  Incarnation next = registry_->WitnessFor(self_entry_, avoid_);
-  // With nobody else to ask, the one that failed is tried again.
+void PeerDriver::ChooseWitness() {
+  Incarnation next = registry_->WitnessFor(self_entry_, avoided_witness_);
+  // If there is no other router, the witness that failed is tried again.
   if (next.empty()) next = registry_->WitnessFor(self_entry_, Incarnation());
   if (next == witness_) return;
   witness_ = next;
   link_.reset();
   feed_.OnLinkClosed();
   caught_up_ = false;
-  failures_ = 0;
+  failed_attempts_ = 0;
   LogEvent(Event::kWitnessChanged, {{"witness", witness_.value}});
   if (witness_.empty()) return;
   witness_address_ = registry_->entries().at(witness_).peer_address;
@@ -84,7 +84,7 @@
 void PeerDriver::Connect() {
   PeerLink::Handlers on;
   on.open = [this] {
-    failures_ = 0;
+    failed_attempts_ = 0;
     handlers_.link(true);
     link_->Send(EncodePeerMessage(HelloMessage{self_}));
     feed_.OnLinkOpen();
@@ -96,17 +96,17 @@
 }
 
 void PeerDriver::OnLinkClosed() {
-  if (failures_ == 0) {
+  if (failed_attempts_ == 0) {
     LogEvent(Event::kPeerLinkLost, {{"witness", witness_.value}});
     handlers_.link(false);
   }
   feed_.OnLinkClosed();
   link_.reset();
-  if (++failures_ >= kFailuresToGiveUp) {
-    avoid_ = witness_;
-    Choose();
+  if (++failed_attempts_ >= kMaxFailedAttempts) {
+    avoided_witness_ = witness_;
+    ChooseWitness();
   }
-  retry_ = loop_.After(kReconnectAfter, [this] {
+  retry_timer_ = loop_.After(kReconnectDelay, [this] {
     if (!link_ && !witness_.empty()) Connect();
   });
 }
--- a/router/peer_driver.h
+++ b/router/peer_driver.h
@@ -1,14 +1,14 @@
-// Keeps the link to this router's witness, and serves as witness for others
-// (ledger/witness.h says what a witness is for).
+// Connects this router to its witness, and acts as witness for other routers
+// (ledger/witness.h explains witnesses).
 //
 // As an owner it chooses a witness from the registry, keeps one link to it, and
-// sends it what WitnessFeed has to tell; the handlers hear what the witness has
-// stored. A witness that fails several attempts in a row is replaced if there
-// is another. As a witness it stores what owners tell and acknowledges each
-// message once it is stored.
+// sends it the messages of WitnessFeed; the handlers are called for what the
+// witness has stored. A witness that fails several attempts in a row is
+// replaced if there is another one. As a witness it stores the messages of
+// owners and acknowledges each message once it is stored.
 //
-// It owns the links, the feed and the store. A message that isn't one, or comes
-// before its hello, is logged and dropped.
+// It owns the links, the feed and the store. From an owner, a message that
+// can't be decoded or precedes the hello is logged and dropped.
 
 #ifndef QUAYTRACK_ROUTER_PEER_DRIVER_H_
 #define QUAYTRACK_ROUTER_PEER_DRIVER_H_
@@ -29,9 +29,9 @@
 class PeerDriver {
  public:
   struct Handlers {
-    // The witness now has everything that is open at this router.
+    // The witness has copies of all open requests and bills of this router.
     std::function<void(const Incarnation& witness)> caught_up;
-    // `request`'s bill is stored at `witness`.
+    // `witness` has stored the bill of `request`.
     std::function<void(const Incarnation& witness, const RequestId& request)>
         witnessed;
     // The link to the witness has opened or closed.
@@ -43,10 +43,10 @@
   // Returns the bound port, or 0.
   std::uint16_t Listen(const std::string& address);
 
-  // Chooses a witness, or keeps the present one while it is registered.
+  // Keeps the present witness while it is registered, otherwise chooses one.
   void OnRegistry(const RouterRegistry& registry, const RouterEntry& self);
 
-  // What happens to this router's requests.
+  // Events of this router's requests, for the witness.
   void OnIntent(const Intent& it);
   void OnBill(const Bill& it, std::uint64_t seq);
   void OnRelease(const RequestId& it);
@@ -60,7 +60,8 @@
   struct Owner {
     std::shared_ptr<PeerLink> link;
     Incarnation name;
-    std::uint64_t stored = 0;
+    // Number of messages stored on this link.
+    std::uint64_t stored_count = 0;
   };
 
   void Accept(std::shared_ptr<PeerLink> link);
@@ -68,7 +69,7 @@
   void Connect();
   void OnWitnessMessage(const std::string& bytes);
   void OnLinkClosed();
-  void Choose();
+  void ChooseWitness();
   void Flush();
 
   Loop& loop_;
@@ -81,12 +82,12 @@
   Incarnation witness_;
   std::string witness_address_;
   std::shared_ptr<PeerLink> link_;
-  std::unique_ptr<Timer> retry_;
+  std::unique_ptr<Timer> retry_timer_;
   bool caught_up_ = false;
-  // Attempts since the link was last open.
-  int failures_ = 0;
-  // A witness that could not be reached.
-  Incarnation avoid_;
+  // Failed attempts since the link was last open.
+  int failed_attempts_ = 0;
+  // The last witness that could not be reached.
+  Incarnation avoided_witness_;
   const RouterRegistry* registry_ = nullptr;
   RouterEntry self_entry_;
 };
--- a/router/recovery_driver.cc
+++ b/router/recovery_driver.cc
@@ -12,11 +12,11 @@
 namespace quaytrack {
 namespace {
 
-constexpr Duration kLookEvery = std::chrono::seconds(1);
-constexpr Duration kAskTimeout = std::chrono::seconds(2);
-// How far back in the dead router's journal its copied bills are looked for. A
-// copy is dropped when its batch is known to be written, so only the last few
-// can overlap.
+constexpr Duration kCheckInterval = std::chrono::seconds(1);
+constexpr Duration kQueryTimeout = std::chrono::seconds(2);
+// Number of batches at the end of the dead router's journal in which its copied
+// bills are searched for. A copy is deleted when its batch is known to be
+// written, so only the last few batches can have bills that are also copies.
 constexpr std::uint64_t kJournalOverlap = 64;
 
 }  // namespace
@@ -33,9 +33,9 @@
       members_(members),
       peers_(peers),
       self_(std::move(self)),
-      timer_(loop.Every(kLookEvery, [this] { Look(); })) {}
+      timer_(loop.Every(kCheckInterval, [this] { CheckWriters(); })) {}
 
-void RecoveryDriver::Look() {
+void RecoveryDriver::CheckWriters() {
   stranded_ = 0;
   for (int shard = 0; shard < kLedgerShards; ++shard) {
     const ShardState* state = ledger_.sync().CachedShard(shard);
@@ -52,17 +52,17 @@
                               const WriterEntry& entry,
                               const LedgerRecord& record) {
   if (entry.witness == self_) {
-    if (auto copy = peers_.store().Of(writer)) Begin(writer, *copy, true);
+    if (auto copy = peers_.store().Of(writer)) Recover(writer, *copy, true);
     return;
   }
   if (!HoldsGrants(record, writer)) {
-    if (!HoldsGrantsAnywhere(writer)) Begin(writer, {}, false);
+    if (!HoldsGrantsAnywhere(writer)) Recover(writer, {}, false);
     return;
   }
-  // A witness that lives will act itself; if there is none, nobody can.
-  const bool witness_lives =
+  // A live witness recovers the grants itself; without one, no router can.
+  const bool witness_is_alive =
       members_.registry().entries().contains(entry.witness);
-  if (witness_lives) return;
+  if (witness_is_alive) return;
   for (const auto& [name, it] : record.budgets) {
     stranded_ += it.GrantOf(writer);
   }
@@ -76,43 +76,44 @@
   return false;
 }
 
-void RecoveryDriver::Begin(const Incarnation& dead, const WitnessCopy& copy,
-                           bool as_witness) {
+void RecoveryDriver::Recover(const Incarnation& dead, const WitnessCopy& copy,
+                             bool as_witness) {
   auto job = std::make_shared<Job>();
   job->as_witness = as_witness;
   job->input.dead = dead;
   job->input.copy = copy;
   jobs_[dead] = job;
-  job->unanswered = copy.intents.size();
-  if (job->unanswered == 0) return ReadSnapshot(job);
-  for (const auto& [request, it] : copy.intents) AskTarget(job, it);
+  job->pending_queries = copy.intents.size();
+  if (job->pending_queries == 0) return ReadSnapshot(job);
+  for (const auto& [request, it] : copy.intents) QueryTarget(job, it);
 }
 
-// Asks a target what a request of the dead router cost; that also ends it.
-void RecoveryDriver::AskTarget(const JobPtr& job, const Intent& intent) {
+// Queries a target for the cost of a request of the dead router. This also ends
+// the request.
+void RecoveryDriver::QueryTarget(const JobPtr& job, const Intent& intent) {
   if (intent.target_address.empty()) {
-    return OnTargetAnswer(job, intent, HttpResult{});
+    return OnTargetReply(job, intent, HttpResult{});
   }
   HttpRequest request;
   request.address = intent.target_address;
   request.method = "POST";
   request.path =
       "/v1/requests/" + intent.worst_case.request_id.value + "/cancel";
-  request.idle_timeout = kAskTimeout;
+  request.idle_timeout = kQueryTimeout;
   HttpCall::Handlers on;
   on.end = [this, job, intent](const HttpResult& result) {
-    OnTargetAnswer(job, intent, result);
+    OnTargetReply(job, intent, result);
   };
   http_.Start(std::move(request), std::move(on));
 }
 
-void RecoveryDriver::OnTargetAnswer(const JobPtr& job, const Intent& intent,
-                                    const HttpResult& result) {
+void RecoveryDriver::OnTargetReply(const JobPtr& job, const Intent& intent,
+                                   const HttpResult& result) {
   constexpr int kNotFound = 404;
   const bool never_ran =
       result.end == HttpEnd::kComplete && result.status == kNotFound;
   if (!never_ran) {
-    // A target that can't tell may have run all of it.
+    // Without a usage report the request may have run in full.
     Bill bill = intent.worst_case;
     const auto usage = result.ok() ? UsageFromJson(result.body) : std::nullopt;
     if (usage) {
@@ -122,7 +123,7 @@
     }
     job->input.asked.push_back(bill);
   }
-  if (--job->unanswered == 0) ReadSnapshot(job);
+  if (--job->pending_queries == 0) ReadSnapshot(job);
 }
 
 void RecoveryDriver::ReadSnapshot(const JobPtr& job) {
@@ -159,12 +160,12 @@
     const auto& found = reply.found[static_cast<std::size_t>(shard)];
     input.shards.push_back(ShardFromKv(shard, found));
   }
-  // Whoever has no copies of the bills may close an account only if there is
-  // nothing in it, in any record.
-  const bool grants = std::any_of(
+  // A router without copies of the bills may remove a writer only if it has no
+  // grants in any record.
+  const bool has_grants = std::any_of(
       input.shards.begin(), input.shards.end(),
       [&](const ShardState& it) { return HoldsGrants(it.record, input.dead); });
-  if (grants && !job->as_witness) return Finish(job, false);
+  if (has_grants && !job->as_witness) return Finish(job, false);
   input.journal.clear();
   for (const EtcdItem& it : reply.found[kLedgerShards]) {
     if (auto batch = DecodeBatch(it.value)) input.journal.push_back(*batch);
@@ -197,8 +198,8 @@
   });
 }
 
-// A recovery that isn't done is begun anew at the next look, from a snapshot
-// that shows whether this one took effect.
+// A recovery that failed is restarted by the next check, from a snapshot that
+// shows whether this one took effect.
 void RecoveryDriver::Finish(const JobPtr& job, bool done) {
   if (done) {
     peers_.Forget(job->input.dead);
--- a/router/recovery_driver.h
+++ b/router/recovery_driver.h
@@ -1,9 +1,10 @@
-// Closes the accounts of dead routers, as their witness.
+// Recovers the accounts of dead routers, as their witness.
 //
-// Every second it looks at all writers in the ledger records. For each that is
-// proven dead: if this router is its witness, it asks the targets what the open
-// requests cost and writes the recovery (ledger/recovery.h). A writer without
-// grants in any record needs no witness; any router may remove it.
+// Every second it checks all writers in the ledger records. For a writer that
+// is proven dead and has this router as its witness, it queries the targets for
+// the cost of the open requests and writes the recovery (ledger/recovery.h). A
+// writer without grants in any record needs no witness; any router may remove
+// it.
 
 #ifndef QUAYTRACK_ROUTER_RECOVERY_DRIVER_H_
 #define QUAYTRACK_ROUTER_RECOVERY_DRIVER_H_
@@ -29,27 +30,29 @@
                  const RetentionLease& retention, LedgerDriver& ledger,
                  Membership& members, PeerDriver& peers, Incarnation self);
 
-  // Tokens in grants of dead routers that nobody can recover.
+  // Prepaid tokens in grants of dead routers whose witness is no longer
+  // registered.
   Tokens Stranded() const { return stranded_; }
 
  private:
-  // One recovery on its way.
+  // A recovery in progress.
   struct Job {
     RecoveryInput input;
-    std::size_t unanswered = 0;
-    // This router has the copies of the dead one's bills.
+    std::size_t pending_queries = 0;
+    // Whether this router has the copies of the dead router's bills.
     bool as_witness = false;
   };
   using JobPtr = std::shared_ptr<Job>;
 
-  void Look();
+  void CheckWriters();
   void Consider(const Incarnation& writer, const WriterEntry& entry,
                 const LedgerRecord& record);
   bool HoldsGrantsAnywhere(const Incarnation& writer) const;
-  void Begin(const Incarnation& dead, const WitnessCopy& copy, bool as_witness);
-  void AskTarget(const JobPtr& job, const Intent& intent);
-  void OnTargetAnswer(const JobPtr& job, const Intent& intent,
-                      const HttpResult& result);
+  void Recover(const Incarnation& dead, const WitnessCopy& copy,
+               bool as_witness);
+  void QueryTarget(const JobPtr& job, const Intent& intent);
+  void OnTargetReply(const JobPtr& job, const Intent& intent,
+                     const HttpResult& result);
   void ReadSnapshot(const JobPtr& job);
   void OnSnapshot(const JobPtr& job, const EtcdTxnReply& reply);
   void Write(const JobPtr& job, const LedgerCommit& commit);
--- a/router/refusal.h
+++ b/router/refusal.h
@@ -1,9 +1,8 @@
-// Every way in which this router ends a request without the target's answer.
+// The errors that this router itself answers requests with.
 //
-// The table fixes, for each code, the HTTP status and what the caller may
-// conclude about the request: "no" means that it did not run and will not run;
-// "unknown" means that it may have run. docs/OPERATING-router.md explains each
-// code.
+// The table gives, for each code, the HTTP status and whether the request ran:
+// "no" means that it did not run and will not run; "unknown" means that it may
+// have run. docs/OPERATING-router.md explains each code.
 
 #ifndef QUAYTRACK_ROUTER_REFUSAL_H_
 #define QUAYTRACK_ROUTER_REFUSAL_H_
@@ -71,29 +70,29 @@
 
 const RefusalInfo& InfoOf(RefusalCode code);
 
-// When a caller should come back, at the earliest. Where a queue decides it,
-// the queue's own estimate is told (route/wait_queue.h). None is measured.
+// Earliest time after which a caller should retry. If the queue is full or too
+// long, the reply has the queue's estimate instead (route/wait_queue.h).
 //
-// Another attempt, here or at another router, may well succeed at once.
+// A retry, here or at another router, may succeed immediately.
 inline constexpr Duration kShortRetryAfter = std::chrono::seconds(1);
 // This router is starting or stopping.
 inline constexpr Duration kNotReadyRetryAfter = std::chrono::seconds(2);
-// The key-value service doesn't answer.
+// The key-value service doesn't respond.
 inline constexpr Duration kOutageRetryAfter = std::chrono::seconds(5);
 
 struct Refusal {
   RefusalCode code{};
-  // For people; names the field at fault where there is one.
+  // Human-readable; names the invalid field if there is one.
   std::string message;
   std::string field;
-  // When to come back; zero where trying again makes no sense.
+  // When to retry; zero if a retry is pointless.
   Duration retry_after{};
 };
 
-// The reply for a refusal: JSON, and Retry-After in whole seconds.
+// The HTTP reply: a JSON body, and Retry-After in whole seconds.
 HttpReply ReplyFor(const Refusal& refusal);
 
-// The same as the last event of a stream that has begun.
+// The same error as the last event of a stream that has started.
 std::string StreamErrorFor(const Refusal& refusal);
 
 }  // namespace quaytrack
--- a/router/request_basics.h
+++ b/router/request_basics.h
@@ -1,6 +1,6 @@
-// What the router knows of a request once it has been read and checked; the
-// same for model calls and service calls. It doesn't change until the request
-// ends.
+// The properties of a request that has been read and checked, for model calls
+// and service calls alike. They don't change until the request ends. All
+// amounts are prepaid tokens (base/ids.h).
 
 #ifndef QUAYTRACK_ROUTER_REQUEST_BASICS_H_
 #define QUAYTRACK_ROUTER_REQUEST_BASICS_H_
@@ -23,17 +23,18 @@
   int customer_weight = 1;
   GroupName group;
   std::uint64_t prefix_hash = 0;
-  // The most that the request can cost; what is held of the budget.
+  // Upper bound of the cost; this amount is held of the budget.
   Tokens worst_case = 0;
   Instant arrived{};
   Instant deadline{};
-  // May be sent again although an attempt may have run.
+  // The call may be sent again although an earlier attempt may have run.
   bool repeatable = true;
-  // Claimed in the key-value service before it is sent.
+  // The call must be claimed in the key-value service before it is sent.
   bool needs_claim = false;
-  // Digest of method, path and body; set if a key needs it.
+  // Digest of the call: path and body of a model call (set only if the caller
+  // sent a key); method, paths and body of a service call.
   std::string digest;
-  // Silence of a target after which an attempt has failed.
+  // An attempt fails when its target sends nothing for this long.
   Duration attempt_timeout = std::chrono::seconds(30);
 };
 
--- a/router/request_budget.cc
+++ b/router/request_budget.cc
@@ -15,9 +15,9 @@
   return out;
 }
 
-Refusal RequestBudget::RefusalFor(HoldRefusal why) const {
+Refusal RequestBudget::RefusalFor(HoldRefusal reason) const {
   const std::string budget = "budget '" + basics_.budget.value + "'";
-  switch (why) {
+  switch (reason) {
     case HoldRefusal::kExhausted:
       return {RefusalCode::kBudgetExhausted,
               budget + " can't cover " + std::to_string(basics_.worst_case) +
@@ -69,8 +69,8 @@
   return out;
 }
 
-// The caller's key makes a retry elsewhere the same request; the digest keeps
-// one key used for two different calls from being billed as one.
+// The caller's key identifies a retry at another router as the same request.
+// The digest ensures that two different calls with one key get separate bills.
 std::string RequestBudget::BillId() const {
   constexpr std::size_t kDigestDigits = 12;
   if (basics_.headers.key.empty()) return basics_.request.value;
@@ -78,7 +78,7 @@
          "/" + basics_.digest.substr(0, kDigestDigits);
 }
 
-// A claimed call runs once, so its bill needs no mark of its own.
+// A claimed call runs at most once, so its bill needs no marker.
 std::string RequestBudget::Marker() const {
   if (basics_.headers.key.empty() || basics_.needs_claim) return "";
   return basics_.headers.customer.value + "/" + Sha256Hex(BillId());
--- a/router/request_budget.h
+++ b/router/request_budget.h
@@ -1,13 +1,13 @@
-// One request's part in its customer's budget: a hold of the worst case, then
-// one bill of the true cost, or nothing.
+// The budget of one request: a hold of its worst case, followed by one bill of
+// the actual cost or by a release of the hold.
 //
 //   RequestBudget budget(context, basics);
 //   budget.Hold();                       // kWaiting: an event follows
-//   const auto seq = budget.Settle(cost);  // or Release()
+//   const auto settled = budget.Settle(now, cost);  // or Release()
 //
-// Owns whether something is held. Relies on the context's ledger driver, which
-// tells of events later, and on the basics; both must outlive it. All amounts
-// are prepaid tokens (base/ids.h).
+// It owns the information whether something is held. It relies on the context's
+// ledger driver, which reports events later, and on the basics; both must
+// outlive it. All amounts are prepaid tokens (base/ids.h).
 
 #ifndef QUAYTRACK_ROUTER_REQUEST_BUDGET_H_
 #define QUAYTRACK_ROUTER_REQUEST_BUDGET_H_
@@ -30,18 +30,18 @@
 
   // Holds the request's worst case.
   HoldOutcome Hold();
-  // Why the caller is refused.
-  Refusal RefusalFor(HoldRefusal why) const;
+  // The refusal that the caller gets.
+  Refusal RefusalFor(HoldRefusal reason) const;
 
-  // What the ledger made of a bill.
+  // The result of settling a request.
   struct Settled {
-    // Its tokens are cut to the hold.
+    // Its tokens are limited to the hold; 0 if the request was billed before.
     Bill bill;
-    // The batch that carries the bill; 0 if it was billed before.
+    // Number of the batch with the bill; 0 if it was billed before.
     std::uint64_t seq = 0;
   };
   Settled Settle(Instant now, Tokens cost);
-  // Gives the hold back, or ends the wait for it; nothing if there is neither.
+  // Releases the hold or ends the wait for it; no effect if there is neither.
   void Release();
 
   Bill MakeBill(Tokens tokens) const;
@@ -52,7 +52,7 @@
 
   RouterContext& context_;
   const RequestBasics& basics_;
-  // Something is held or waited for.
+  // Whether something is held or waited for.
   bool held_ = false;
 };
 
--- a/router/request_claim.cc
+++ b/router/request_claim.cc
@@ -7,7 +7,7 @@
 namespace quaytrack {
 
 std::optional<ClaimAnswer> RequestClaim::Begin() {
-  ClaimAnswer answer = context_.claims.book().Begin(
+  ClaimAnswer answer = context_.claims.tracker().Begin(
       context_.Now(), Key(), basics_.digest, basics_.request,
       context_.clock.WallNow().time_since_epoch().count());
   context_.claims.Kick();
@@ -37,24 +37,25 @@
           {}};
 }
 
-void RequestClaim::OnRan(KeptAnswer kept) {
+void RequestClaim::OnRan(KeptAnswer stored_answer) {
   if (!std::exchange(owned_, false)) return;
   storing_ = true;
-  context_.claims.book().Done(context_.Now(), Key(), std::move(kept));
+  context_.claims.tracker().Done(context_.Now(), Key(),
+                                 std::move(stored_answer));
   context_.claims.Kick();
 }
 
-void RequestClaim::OnLost() {
+void RequestClaim::OnOutcomeUnknown() {
   if (!std::exchange(owned_, false)) return;
   storing_ = true;
-  context_.claims.book().Lost(context_.Now(), Key());
+  context_.claims.tracker().Lost(context_.Now(), Key());
   context_.claims.Kick();
 }
 
 void RequestClaim::Withdraw() {
   owned_ = false;
   if (!basics_.needs_claim) return;
-  context_.claims.book().Abandon(context_.Now(), Key(), basics_.request);
+  context_.claims.tracker().Abandon(context_.Now(), Key(), basics_.request);
   context_.claims.Kick();
 }
 
--- a/router/request_claim.h
+++ b/router/request_claim.h
@@ -1,17 +1,18 @@
-// One request's claim: a call that must not be repeated is sent at most once.
+// The claim of one request: a call that must not be repeated is sent at most
+// once.
 //
-// The request's part in ClaimBook (claim/claim.h), from its beginning to its
-// end, for requests with `needs_claim`; the others may call OnRan, OnLost and
-// Withdraw, which then do nothing.
+// Drives the ClaimBook (claim/claim.h) for one request with `needs_claim`, from
+// start to end. For other requests OnRan, OnOutcomeUnknown and Withdraw may be
+// called too and have no effect.
 //
 //   RequestClaim claim(context, basics);
 //   if (const auto answer = claim.Begin()) ...   // replayed, or refused
 //   claim.OnWon();                                // the call may be sent
-//   claim.OnRan(kept);                            // or OnLost, or Withdraw
+//   claim.OnRan(stored_answer);    // or OnOutcomeUnknown, or Withdraw
 //   if (!claim.storing()) ...                     // its end is stored
 //
-// Owns the request's state of the claim. Relies on the context's claim driver,
-// which tells of events later, and on the basics; both must outlive it.
+// It owns the request's claim state. It relies on the context's claim driver,
+// which reports events later, and on the basics; both must outlive it.
 
 #ifndef QUAYTRACK_ROUTER_REQUEST_CLAIM_H_
 #define QUAYTRACK_ROUTER_REQUEST_CLAIM_H_
@@ -30,27 +31,29 @@
   RequestClaim(RouterContext& context, const RequestBasics& basics)
       : context_(context), basics_(basics) {}
 
-  // Asks for the claim. Empty if it is being written, or if another request of
-  // this router runs the call: an event follows.
+  // Requests the claim. Empty if the claim is being written or another request
+  // of this router runs the call; an event follows.
   std::optional<ClaimAnswer> Begin();
 
-  // Why the caller is refused, given any answer but kReplay.
+  // The refusal that the caller gets for any answer but kReplay.
   Refusal RefusalFor(const ClaimAnswer& answer) const;
 
   // The claim is stored; the call may be sent.
   void OnWon() { owned_ = true; }
 
-  // The call has ended: with an answer, which is kept for retries, or in a way
-  // that leaves open whether it ran. The end is stored from here on.
+  // Whether this request owns the claim.
   bool owned() const { return owned_; }
-  void OnRan(KeptAnswer kept);
-  void OnLost();
-  // Nothing of the call ran.
+  // The call has ended: OnRan with an answer, which is stored for retries,
+  // OnOutcomeUnknown without knowing whether it ran. Both start to store the
+  // end.
+  void OnRan(KeptAnswer stored_answer);
+  void OnOutcomeUnknown();
+  // The call did not run.
   void Withdraw();
 
   void OnStored() { storing_ = false; }
   bool storing() const { return storing_; }
-  // Another request of this router runs the call, and this one waits for it.
+  // Whether this request waits for another one of this router to run the call.
   bool joined() const { return joined_; }
 
  private:
--- a/router/request_reader.cc
+++ b/router/request_reader.cc
@@ -13,10 +13,10 @@
 namespace leaf = boost::leaf;
 using Json = nlohmann::json;
 
-constexpr std::size_t kLongestKey = 255;
+constexpr std::size_t kMaxKeyBytes = 255;
 constexpr std::size_t kPrefixBytes = 512;
-constexpr std::int64_t kLongestDeadlineMs = 24LL * 3600 * 1000;
-// Roles and separators that a chat template adds to each message.
+constexpr std::int64_t kMaxDeadlineMs = 24LL * 3600 * 1000;
+// Allowance for the roles and separators that a chat template adds.
 constexpr std::int64_t kTemplateTokensPerMessage = 16;
 
 auto Fault(const std::string& field, std::string message) {
@@ -39,7 +39,7 @@
   if (!header->starts_with(kScheme)) {
     return fail("Authorization must be 'Bearer KEY'");
   }
-  // Looked up by digest, so the time says nothing about the key itself.
+  // The lookup is by digest, so its duration reveals nothing about the key.
   const std::string digest = Sha256Hex(header->substr(kScheme.size()));
   auto it = bundle.customer_by_key.find(digest);
   if (it == bundle.customer_by_key.end()) {
@@ -54,9 +54,9 @@
   }
   const auto header = exchange.Header(kKeyHeader);
   if (!header) return IdempotencyKey();
-  if (header->empty() || header->size() > kLongestKey) {
+  if (header->empty() || header->size() > kMaxKeyBytes) {
     return Fault(kKeyHeader, "Idempotency-Key must have 1 to " +
-                                 std::to_string(kLongestKey) + " characters");
+                                 std::to_string(kMaxKeyBytes) + " characters");
   }
   const bool printable =
       std::all_of(header->begin(), header->end(),
@@ -73,11 +73,11 @@
   const auto header = exchange.Header(kDeadlineHeader);
   if (!header) return std::nullopt;
   const auto ms = ParseNumber<std::int64_t>(*header);
-  if (!ms || *ms < 1 || *ms > kLongestDeadlineMs) {
+  if (!ms || *ms < 1 || *ms > kMaxDeadlineMs) {
     return Fault(kDeadlineHeader,
                  "X-Deadline-Ms must be a whole number from 1 "
                  "to " +
-                     std::to_string(kLongestDeadlineMs));
+                     std::to_string(kMaxDeadlineMs));
   }
   return std::chrono::milliseconds(*ms);
 }
@@ -90,7 +90,7 @@
                "X-Priority must be interactive, standard or batch");
 }
 
-// A whole number within bounds, or the fallback when the field is absent.
+// An integer within bounds, or the fallback if the field is absent.
 leaf::result<std::int64_t> ReadCount(const Json& json, const char* field,
                                      std::int64_t low, std::int64_t high,
                                      std::int64_t fallback) {
@@ -100,10 +100,11 @@
       std::string(field) + " must be a whole number from " +
       std::to_string(low) + " to " + std::to_string(high);
   if (!it.is_number_integer()) return Fault(field, allowed);
-  // Unsigned values above the signed range would wrap.
-  const bool huge = it.is_number_unsigned() &&
-                    it.get<std::uint64_t>() > static_cast<std::uint64_t>(high);
-  if (huge) return Fault(field, allowed);
+  // Unsigned values above the signed range would wrap around.
+  const bool too_large =
+      it.is_number_unsigned() &&
+      it.get<std::uint64_t>() > static_cast<std::uint64_t>(high);
+  if (too_large) return Fault(field, allowed);
   const auto n = it.get<std::int64_t>();
   if (n < low || n > high) return Fault(field, allowed);
   return n;
@@ -200,7 +201,7 @@
     BOOST_LEAF_ASSIGN(out.include_usage,
                       ReadFlag(json["stream_options"], "include_usage"));
   }
-  // The bill needs the usage, whether or not the caller wants to see it.
+  // The bill needs the usage even if the caller did not ask for it.
   if (out.stream) json["stream_options"]["include_usage"] = true;
   return {};
 }
@@ -223,7 +224,7 @@
   if (repeat) {
     const auto it = FromName<Repeat>(*repeat);
     if (!it) return Fault(kRepeatHeader, "X-Repeat must be allowed or never");
-    out.never_repeat = *it == Repeat::kNever;
+    out.must_not_repeat = *it == Repeat::kNever;
   }
   return out;
 }
--- a/router/request_reader.h
+++ b/router/request_reader.h
@@ -1,7 +1,7 @@
-// Reads and checks what callers send.
+// Parses and validates the requests of callers.
 //
-// Everything that can be wrong with a request is found here, before a hold is
-// placed or a target chosen, and is answered with the field at fault:
+// All faults in a request are found here, before a hold is placed or a target
+// is chosen. The refusal names the invalid field:
 //
 //   leaf::try_handle_all(
 //       [&]() -> leaf::result<void> {
@@ -29,7 +29,7 @@
 
 enum class ModelCallKind { kChat, kCompletion };
 
-// A model call, checked.
+// A validated model call.
 struct ModelCall {
   ModelCallKind kind{};
   ModelName model;
@@ -37,26 +37,27 @@
   // Whether the caller asked for the usage event of a stream.
   bool include_usage = false;
   std::int64_t max_tokens = 0;
-  // No tokenizer makes more tokens than there are bytes.
+  // Upper bound of the prompt tokens: the bytes of the prompt, as a token has
+  // at least one byte, plus an allowance for the chat template.
   std::int64_t prompt_bytes = 0;
-  // Hash of the beginning of the prompt, for prefix affinity; never 0.
+  // Hash of the start of the prompt, for prefix affinity; never 0.
   std::uint64_t prefix_hash = 1;
   // The body for the engine: as sent, with max_tokens and usage filled in.
   std::string engine_body;
 
-  // The most that the call can cost.
+  // Upper bound of the cost.
   Tokens WorstCase(const ModelSetting& model_setting) const;
 };
 
-// What all requests carry in their headers.
+// The headers that all requests may have.
 struct CallerHeaders {
   CustomerName customer;
   IdempotencyKey key;  // empty if none was sent
   PriorityClass priority = PriorityClass::kStandard;
-  // From arrival; empty if none was sent.
+  // Relative to arrival; empty if none was sent.
   std::optional<std::chrono::milliseconds> deadline;
-  // The caller says that this call must not be repeated.
-  bool never_repeat = false;
+  // The caller requires that this call isn't repeated.
+  bool must_not_repeat = false;
 };
 
 inline constexpr char kKeyHeader[] = "Idempotency-Key";
--- a/router/request_table.h
+++ b/router/request_table.h
@@ -1,10 +1,11 @@
-// All requests that this router is serving, of both kinds, by id.
+// All requests that this router is serving, model and service calls, by id.
 //
 //   requests.With(id, [](auto& it) { it.OnHoldGranted(); });
 //
-// It owns the requests; one that has ended is removed from the loop, not from
-// its own call (RouterContext::ended). Events for a request that is gone do
-// nothing.
+// It owns the requests. A request that has ended is removed by a posted
+// callback, not from within its own member functions
+// (RouterContext::on_request_ended). Events for a request that has been removed
+// are ignored.
 
 #ifndef QUAYTRACK_ROUTER_REQUEST_TABLE_H_
 #define QUAYTRACK_ROUTER_REQUEST_TABLE_H_
@@ -32,7 +33,7 @@
   void Remove(const RequestId& request) { requests_.erase(request); }
   std::size_t size() const { return requests_.size(); }
 
-  // Calls `visit` with the request, if it is still there.
+  // Calls `visit` with the request; false if it has been removed.
   template <class Visit>
   bool With(const RequestId& request, Visit visit) {
     auto it = requests_.find(request);
@@ -42,7 +43,7 @@
     return true;
   }
 
-  // Calls `visit` with each request; requests may end meanwhile.
+  // Calls `visit` with each request; `visit` may end requests.
   template <class Visit>
   void ForEach(Visit visit) {
     std::vector<AnyForward> all;
--- a/router/router.cc
+++ b/router/router.cc
@@ -10,14 +10,15 @@
 namespace {
 
 constexpr Duration kTick = std::chrono::milliseconds(50);
-// Longest time at the end of a planned stop to write the last bills and give
-// grants back, after --drain-ms. Not measured.
-constexpr Duration kReturnTime = std::chrono::seconds(3);
-// The part of it that cut requests need: 1 s at most until an engine has told
-// what ran (router/forward_attempt_impl.h), 0.4 s by default until an answer is
-// let go without its bill (--bill-patience-ms), and room for a ledger write.
-// Until then requests may still end by themselves. Not measured.
-constexpr Duration kCutTime = std::chrono::seconds(2);
+// Maximum time after --drain-ms, at the end of a planned stop, to write the
+// last bills and return grants.
+constexpr Duration kGrantReturnTime = std::chrono::seconds(3);
+// The share of kGrantReturnTime kept for requests that are ended early: at most
+// 1 s until an engine has reported its usage (router/forward_attempt_impl.h),
+// 0.4 s by default until an answer is sent without a safe bill
+// (--bill-patience-ms), and time for a ledger write. Before that, requests may
+// still end normally.
+constexpr Duration kEndRequestsTime = std::chrono::seconds(2);
 constexpr int kExitFenced = 75;
 
 // "<vm>@<start in ms>-<random>": unique even if the clock is set back.
@@ -28,7 +29,7 @@
                      RandomHex(kRandomBytes));
 }
 
-TargetBookOptions BookOptions(const RouterSettings& settings) {
+TargetBookOptions TargetOptions(const RouterSettings& settings) {
   TargetBookOptions out;
   out.own_hall = HallName(settings.hall);
   return out;
@@ -62,8 +63,8 @@
       http_(loop),
       kv_(loop, http_, {settings_.kv}),
       retention_(loop, kv_, clock, std::chrono::hours(24)),
-      targets_(BookOptions(settings_), StableHash(self_.value)),
-      gate_(settings_.bill_patience,
+      targets_(TargetOptions(settings_), StableHash(self_.value)),
+      gate_(settings_.bill_timeout,
             [this](const RequestId& request, BillSafety safety) {
               requests_.With(request, [&](auto& it) { it.OnBillSafe(safety); });
             }),
@@ -71,7 +72,8 @@
               [this](const LedgerEvent& it) { OnLedgerEvent(it); }),
       claims_(loop, kv_, clock, retention_, self_, charts.claim,
               [this](const ClaimEvent& it) { OnClaimEvent(it); }),
-      bundles_(loop, kv_, settings_.operator_keys, [this] { OnBundleTaken(); }),
+      bundles_(loop, kv_, settings_.operator_keys,
+               [this] { OnBundleAccepted(); }),
       peers_(loop, self_, PeerHandlers()),
       loads_(loop, http_, clock, targets_,
              [this](const TargetName& target) {
@@ -79,8 +81,8 @@
                    [&](auto& it) { it.OnTargetUnresponsive(target); });
              }),
       context_(MakeContext(charts.forward)),
-      callers_(context_, requests_, settings_.default_deadline),
-      admin_(
+      caller_api_(context_, requests_, settings_.default_deadline),
+      admin_api_(
           {settings_, context_, kv_, bundles_, requests_, members_, recovery_},
           {[this] { return Ready(); },
            [this] { return NameOf(drain_.state()); }, [this] { Drain(); }}),
@@ -88,10 +90,12 @@
       admin_server_(loop, {}),
       drain_(charts.drain),
       tick_(loop.Every(kTick, [this] { Tick(); })) {
-  caller_server_.Serve(
-      [this](const std::shared_ptr<HttpExchange>& it) { callers_.Handle(it); });
-  admin_server_.Serve(
-      [this](const std::shared_ptr<HttpExchange>& it) { admin_.Handle(it); });
+  caller_server_.Serve([this](const std::shared_ptr<HttpExchange>& it) {
+    caller_api_.Handle(it);
+  });
+  admin_server_.Serve([this](const std::shared_ptr<HttpExchange>& it) {
+    admin_api_.Handle(it);
+  });
 }
 
 RouterContext Router::MakeContext(const ForwardChart& chart) {
@@ -125,7 +129,7 @@
     ledger_.Kick();
   };
   out.witnessed = [this](const Incarnation& witness, const RequestId& it) {
-    // Copies at a peer that the ledger doesn't name would never be used.
+    // Recovery uses only the copies of the witness that the ledger records.
     if (ledger_.sync().recorded_witness() == witness) gate_.OnWitnessed(it);
   };
   out.link = [this](bool up) { ledger_.sync().SetWitnessLink(up); };
@@ -133,7 +137,7 @@
 }
 
 bool Router::Listen() {
-  // Leaves the bound port in `address`.
+  // Replaces the port in `address` by the bound one.
   const auto bind = [](const char* flag, std::string& address, auto& server) {
     const std::uint16_t port = server.Listen(address);
     if (port == 0) {
@@ -153,14 +157,14 @@
   LogEvent(Event::kStarted, {{"incarnation", self_.value},
                              {"listen", settings_.listen},
                              {"admin", settings_.admin_listen}});
-  // Whoever started the process learns from this line where it listens.
+  // Reports the bound addresses to the process that started this one.
   std::printf("listening %s %s\n", settings_.listen.c_str(),
               settings_.admin_listen.c_str());
   std::fflush(stdout);
   return true;
 }
 
-// Registers under the addresses that were bound.
+// Registers this router with the bound addresses.
 void Router::JoinFleet() {
   Membership::Options options;
   options.self.incarnation = self_;
@@ -171,7 +175,7 @@
   Membership::Handlers on;
   on.registered = [this](std::int64_t created) {
     ledger_.sync().SetRegistered(created);
-    claims_.book().SetRegistered(created);
+    claims_.tracker().SetRegistered(created);
   };
   on.changed = [this] { OnMembersChanged(); };
   members_ = std::make_unique<Membership>(loop_, kv_, http_, clock_, options,
@@ -218,12 +222,12 @@
   });
 }
 
-void Router::OnBundleTaken() {
+void Router::OnBundleAccepted() {
   const std::shared_ptr<const Bundle> bundle = bundles_.keeper().bundle();
   UpdateTargets(*bundle);
   ledger_.sync().SetBudgets(bundle->version, bundle->budgets);
   ledger_.Kick();
-  callers_.SetBundle(bundle);
+  caller_api_.SetBundle(bundle);
   if (members_) members_->SetBundleVersion(bundle->version);
 }
 
@@ -324,13 +328,13 @@
     case DrainAction::kReportUnready:
       LogEvent(Event::kDrainStarted, {{"incarnation", self_.value}});
       caller_server_.StartClosing();
-      drain_timer_ = loop_.After(settings_.balancer_time, [this] {
+      drain_timer_ = loop_.After(settings_.balancer_delay, [this] {
         ApplyDrain(DrainEvent::kBalancerNoticed);
       });
       return;
     case DrainAction::kStopListening:
       caller_server_.StopListening();
-      callers_.StopTaking();
+      caller_api_.StopAccepting();
       drain_timer_ = loop_.After(settings_.drain_time, [this] {
         LogEvent(Event::kDrainTimedOut,
                  {{"requests", std::to_string(requests_.size())},
@@ -341,28 +345,28 @@
     case DrainAction::kReturnGrants:
       ledger_.sync().StartDrain();
       ledger_.Kick();
-      drain_timer_ =
-          loop_.After(kReturnTime, [this] { ApplyDrain(DrainEvent::kTimeUp); });
-      cut_timer_ =
-          loop_.After(kReturnTime - kCutTime, [this] { CutRequests(); });
+      drain_timer_ = loop_.After(kGrantReturnTime,
+                                 [this] { ApplyDrain(DrainEvent::kTimeUp); });
+      end_requests_timer_ = loop_.After(kGrantReturnTime - kEndRequestsTime,
+                                        [this] { EndRemainingRequests(); });
       return;
     case DrainAction::kExit:
       members_->Leave();
       LogEvent(Event::kDrainFinished, {{"incarnation", self_.value}});
-      // Lets the last replies and the lease's end leave the process.
+      // Gives the last replies and the lease's revocation time to be sent.
       exit_timer_ = loop_.After(kTick, [this] { loop_.Stop(); });
       return;
   }
 }
 
-// The requests that still run are ended while there is time to answer and bill
+// Ends the remaining requests while there is still time to answer and bill
 // them.
-void Router::CutRequests() {
-  requests_.ForEach([](auto& it) { it.OnTimeUp(); });
+void Router::EndRemainingRequests() {
+  requests_.ForEach([](auto& it) { it.OnDrainDeadline(); });
 }
 
 void Router::CheckDrain() {
-  // An answer that its caller is still taking is as much in flight.
+  // An answer that its caller has not fully received is also in flight.
   const bool ended =
       requests_.size() == 0 && caller_server_.UnsentReplies() == 0;
   if (drain_.state() == DrainState::kFinishing && ended) {
@@ -370,7 +374,7 @@
   }
   if (drain_.state() != DrainState::kReturning) return;
   const bool done =
-      ended && ledger_.sync().Drained() && claims_.book().Unstored() == 0;
+      ended && ledger_.sync().Drained() && claims_.tracker().Unstored() == 0;
   if (done) ApplyDrain(DrainEvent::kLedgerReturned);
 }
 
--- a/router/router.h
+++ b/router/router.h
@@ -1,15 +1,15 @@
-// The process of `quaytrack router`: its parts, wired together.
+// The process of `quaytrack router`: creates and connects its components.
 //
 //   Router router(loop, clock, settings, charts);
 //   if (!router.Listen()) return kExitRefused;
 //   loop.Run();                      // until a planned stop is over
 //   return router.exit_code();
 //
-// It owns the parts, the queues and the addresses of targets, passes events
-// between them, and follows chart/charts/drain.json through a planned stop. A
-// router that has been declared dead stops as well; its exit code is then 75.
-// It relies on the key-value service for everything that routers share, and
-// goes on without it on the grants that it has.
+// It owns the components, the wait queues and the target addresses, passes
+// events between the components, and follows chart/charts/drain.json in a
+// planned stop. A router that has been declared dead stops as well, with exit
+// code 75. It relies on the key-value service for all state that routers share;
+// while the service is unreachable it continues with the grants it has.
 
 #ifndef QUAYTRACK_ROUTER_ROUTER_H_
 #define QUAYTRACK_ROUTER_ROUTER_H_
@@ -48,13 +48,13 @@
   Router(Loop& loop, const Clock& clock, RouterSettings settings,
          const RouterCharts& charts);
 
-  // Binds the addresses; false, with a message printed, if one is taken.
+  // Binds the addresses; logs an error and returns false if one fails.
   bool Listen();
 
   // Starts a planned stop; `Loop::Run` returns when it is over.
   void Drain();
 
-  // 0 after a planned stop, otherwise why the router gave up.
+  // 0 after a planned stop, 75 if the router was fenced.
   int exit_code() const { return exit_code_; }
 
  private:
@@ -63,7 +63,7 @@
   void JoinFleet();
   void OnLedgerEvent(const LedgerEvent& event);
   void OnClaimEvent(const ClaimEvent& event);
-  void OnBundleTaken();
+  void OnBundleAccepted();
   void OnMembersChanged();
   void UpdateTargets(const Bundle& bundle);
   void UpdateLeaving();
@@ -73,7 +73,7 @@
   bool Ready() const;
 
   void ApplyDrain(DrainEvent event);
-  void CutRequests();
+  void EndRemainingRequests();
   void CheckDrain();
 
   Loop& loop_;
@@ -98,15 +98,15 @@
   LoadPoller loads_;
   RequestTable requests_;
   RouterContext context_;
-  CallerApi callers_;
-  AdminApi admin_;
+  CallerApi caller_api_;
+  AdminApi admin_api_;
   HttpServer caller_server_;
   HttpServer admin_server_;
   ChartMachine<DrainState, DrainEvent, DrainAction> drain_;
   std::set<GroupName> pump_due_;
   std::unique_ptr<Timer> tick_;
   std::unique_ptr<Timer> drain_timer_;
-  std::unique_ptr<Timer> cut_timer_;
+  std::unique_ptr<Timer> end_requests_timer_;
   std::unique_ptr<Timer> exit_timer_;
   bool announced_ready_ = false;
   int exit_code_ = 0;
--- a/router/service_job.cc
+++ b/router/service_job.cc
@@ -14,10 +14,10 @@
   return out;
 }
 
-AnswerKind ServiceJob::Judge(const HttpResult& result) {
+AnswerKind ServiceJob::Classify(const HttpResult& result) {
   if (result.end != HttpEnd::kComplete) return AnswerKind::kFailed;
   if (result.status == 429) return AnswerKind::kOverloaded;
-  // An error of the service's own leaves open what it did before.
+  // A server error leaves unknown whether the call ran.
   if (result.status >= 500) return AnswerKind::kFailed;
   answer_ = result;
   return AnswerKind::kComplete;
@@ -31,11 +31,11 @@
   exchange.Reply(reply);
 }
 
-KeptAnswer ServiceJob::Kept() const {
+KeptAnswer ServiceJob::AnswerToStore() const {
   KeptAnswer out;
   out.status = answer_.status;
   out.content_type = answer_.content_type;
-  out.too_large = answer_.body.size() > kMostKeptBytes;
+  out.too_large = answer_.body.size() > kMaxStoredAnswerBytes;
   if (!out.too_large) out.body = answer_.body;
   return out;
 }
--- a/router/service_job.h
+++ b/router/service_job.h
@@ -1,6 +1,7 @@
-// The part of a request that is particular to calls of plain services
-// (ForwardJob). Each call has one price, whether its answer came whole or not;
-// the answer is kept for retries if it is small.
+// The call-specific code of calls of plain services (ForwardJob).
+//
+// Each call has one price in prepaid tokens, whether or not its answer was
+// complete. Small answers are stored for retries.
 
 #ifndef QUAYTRACK_ROUTER_SERVICE_JOB_H_
 #define QUAYTRACK_ROUTER_SERVICE_JOB_H_
@@ -12,17 +13,17 @@
 
 namespace quaytrack {
 
-// A call as it goes to the service.
+// A call as it is sent to the service.
 struct ServiceCall {
   std::string method;
-  std::string path;  // with the query
+  std::string path;  // including the query
   std::string content_type;
   std::string body;
 };
 
 class ServiceJob {
  public:
-  // Its answer is wanted even if its caller has left.
+  // The answer is needed for a retry even if the caller has disconnected.
   static constexpr bool kCancellable = false;
 
   ServiceJob(ServiceCall call, Tokens price)
@@ -32,24 +33,24 @@
   bool streams() const { return false; }
   void Begin(HttpExchange&) {}
   int Relay(evbuffer*, HttpExchange&) { return 0; }
-  AnswerKind Judge(const HttpResult& result);
+  AnswerKind Classify(const HttpResult& result);
   Tokens Cost() const { return price_; }
-  // A call that may have run is billed like one that did.
-  Tokens CostIfCut() const { return price_; }
+  // A call that may have run is billed as one that did.
+  Tokens CostIfIncomplete() const { return price_; }
   void Deliver(HttpExchange& exchange);
-  KeptAnswer Kept() const;
+  KeptAnswer AnswerToStore() const;
   HttpRequest CancelRequest(const std::string&, const RequestId&) const {
     return {};
   }
   void OnCancelled(const HttpResult&) {}
-  // A plain service can't be asked what it ran.
+  // A plain service can't report what it ran.
   Intent MakeIntent(const std::string&, Bill worst_case) const {
     return {std::move(worst_case), "", 0, 0};
   }
 
  private:
-  // Larger answers are not kept for retries.
-  static constexpr std::size_t kMostKeptBytes = 8 * 1024;
+  // Bytes. Larger answers are not stored for retries.
+  static constexpr std::size_t kMaxStoredAnswerBytes = 8 * 1024;
 
   ServiceCall call_;
   Tokens price_;
--- a/router/settings.cc
+++ b/router/settings.cc
@@ -42,17 +42,16 @@
   add("--operator-key", flags.operator_keys,
       "NAME=PUBLIC_KEY of an operator who may sign bundles");
   AddLogFlags(app, flags);
-  add("--deadline-ms", flags.deadline_ms,
-      "Deadline of requests that bring none");
+  add("--deadline-ms", flags.deadline_ms, "Deadline of requests without one");
   add("--max-body-kb", flags.max_body_kb, "Largest request body");
   add("--commit-spacing-ms", flags.commit_spacing_ms,
-      "Shortest time between ledger writes");
+      "Minimum time between ledger writes");
   add("--bill-patience-ms", flags.bill_patience_ms,
-      "Longest time that an answer's end waits for its bill to be safe");
+      "Maximum time that the end of an answer waits for its bill to be safe");
   add("--balancer-ms", flags.balancer_ms,
       "Time for the balancer to notice that this router is unready");
   add("--drain-ms", flags.drain_ms,
-      "Longest time for requests to finish at a planned stop");
+      "Maximum time for requests to finish at a planned stop");
   AddCheckFlag(app, flags);
 }
 
@@ -76,8 +75,8 @@
   out.default_deadline = milliseconds(flags.deadline_ms);
   out.max_body_bytes = static_cast<std::size_t>(flags.max_body_kb) * kKilobyte;
   out.commit_spacing = milliseconds(flags.commit_spacing_ms);
-  out.bill_patience = milliseconds(flags.bill_patience_ms);
-  out.balancer_time = milliseconds(flags.balancer_ms);
+  out.bill_timeout = milliseconds(flags.bill_patience_ms);
+  out.balancer_delay = milliseconds(flags.balancer_ms);
   out.drain_time = milliseconds(flags.drain_ms);
   return check.Take();
 }
--- a/router/settings.h
+++ b/router/settings.h
@@ -1,11 +1,11 @@
 // Settings of `quaytrack router`.
 //
-// What both programs have (identity, addresses, log) is in
-// net/process_settings.h; this adds the router's own. RouterFlags is what was
-// given, RouterSettings what the router works with; they share RouterValues,
-// which is the same in both. Settings are checked as a whole before anything
-// starts, and every fault is reported with the flag, the value given and what
-// is allowed. Nothing changes while the process runs.
+// Settings that other processes share (identity, addresses, log) are in
+// net/process_settings.h; this file adds those of the router. RouterFlags has
+// the flags as given, RouterSettings the checked values; RouterValues has those
+// that are the same in both. All settings are checked before anything starts,
+// and every fault is reported with the flag, the value given and the values
+// allowed. Settings don't change while the process runs.
 //
 //   RouterFlags flags;
 //   AddRouterFlags(app, flags);
@@ -26,13 +26,14 @@
 namespace quaytrack {
 
 struct RouterValues : ProcessIdentity {
-  // Addresses of the key-value service; the next is used when one is silent.
+  // Endpoints of the key-value service; when one doesn't respond, the next is
+  // used.
   std::vector<std::string> kv;
-  // Address of the VM list; empty for none.
+  // Address of the VM list; empty if there is none.
   std::string vm_list;
 };
 
-// As given, before they are checked. The defaults are not measured.
+// Flags as given, before they are checked.
 struct RouterFlags : RouterValues, LogFlags {
   // NAME=BASE64 of a public Ed25519 key, one for each operator.
   std::vector<std::string> operator_keys;
@@ -46,22 +47,23 @@
 
 struct RouterSettings : RouterValues, LogSettings {
   OperatorKeys operator_keys;
-  // Given to requests that bring no deadline of their own.
+  // For requests without a deadline.
   std::chrono::milliseconds default_deadline{};
   std::size_t max_body_bytes = 0;
-  // Shortest time between two ledger writes (ledger/sync.h).
+  // Minimum interval between two ledger writes (ledger/sync.h).
   std::chrono::milliseconds commit_spacing{};
-  // How long an answer's end waits for its bill (router/bill_gate.h).
-  std::chrono::milliseconds bill_patience{};
-  // From turning unready until the balancer is taken to have noticed.
-  std::chrono::milliseconds balancer_time{};
-  // Longest time for requests in flight to finish at a planned stop.
+  // Maximum time that the end of an answer waits for its bill
+  // (router/bill_gate.h).
+  std::chrono::milliseconds bill_timeout{};
+  // Time after turning unready in which the balancer is assumed to notice.
+  std::chrono::milliseconds balancer_delay{};
+  // Maximum time for requests in flight to finish at a planned stop.
   std::chrono::milliseconds drain_time{};
 };
 
 void AddRouterFlags(CLI::App& app, RouterFlags& flags);
 
-// Fills `out` and returns no faults, or returns them all.
+// Fills `out` and returns an empty list, or returns all faults.
 std::vector<SettingFault> CheckSettings(const RouterFlags& flags,
                                         RouterSettings& out);
 
--- a/router/sse_relay.cc
+++ b/router/sse_relay.cc
@@ -27,7 +27,7 @@
   return false;
 }
 
-bool EndsTheAnswer(std::string_view text) {
+bool HasAnswerEnd(std::string_view text) {
   return text.find(kDone) != std::string_view::npos || MentionsUsage(text);
 }
 
@@ -75,35 +75,36 @@
   if (data == nullptr) return 0;
   const std::string_view text(data, size);
   int events = 0;
-  const bool whole = partial_.empty() && text.ends_with(kEventEnd);
-  if (whole && !EndsTheAnswer(text)) {
+  const bool complete = partial_.empty() && text.ends_with(kEventEnd);
+  if (complete && !HasAnswerEnd(text)) {
     events = CountEvents(text);
     evbuffer_add_buffer(out, in);
   } else {
     partial_ += text;
     evbuffer_drain(in, size);
-    events = TakeEvents(out);
+    events = RelayEvents(out);
   }
   events_ += events;
   return events;
 }
 
-int SseRelay::TakeEvents(evbuffer* out) {
+int SseRelay::RelayEvents(evbuffer* out) {
   int relayed = 0;
   std::size_t begin = 0;
   std::size_t end = 0;
   while ((end = partial_.find(kEventEnd, begin)) != std::string::npos) {
     const std::size_t next = end + kEventEnd.size();
     const auto event = std::string_view(partial_).substr(begin, next - begin);
-    if (TakeEvent(event, out)) ++relayed;
+    if (RelayEvent(event, out)) ++relayed;
     begin = next;
   }
   partial_.erase(0, begin);
   return relayed;
 }
 
-// Whether the event was moved to `out`; the end of the answer is held back.
-bool SseRelay::TakeEvent(std::string_view event, evbuffer* out) {
+// Moves the event to `out` and returns true, or holds it back as part of the
+// end of the answer.
+bool SseRelay::RelayEvent(std::string_view event, evbuffer* out) {
   const std::string_view data = DataOf(event);
   if (data.starts_with(kDone)) {
     done_ = true;
--- a/router/testing/router_units_test.cc
+++ b/router/testing/router_units_test.cc
@@ -1,3 +1,6 @@
+// Tests of router components that need no event loop: the stream relay, request
+// and settings validation, the charts, the bill gate and the peer messages.
+
 #include <event2/buffer.h>
 #include <rapidcheck.h>
 
@@ -36,19 +39,19 @@
 const std::string kDone = "data: [DONE]\n\n";
 
 BOOST_AUTO_TEST_CASE(StreamIsTheSameHoweverItIsCut) {
-  const std::string whole = kToken + kToken + kToken + kUsage + kDone;
+  const std::string stream = kToken + kToken + kToken + kUsage + kDone;
   BOOST_TEST(rc::check([&](const std::vector<std::uint8_t>& cuts) {
     SseRelay relay(true);
     const Buffer in = NewBuffer();
     const Buffer out = NewBuffer();
     std::size_t at = 0;
     for (std::uint8_t it : cuts) {
-      const std::size_t n = std::min<std::size_t>(it, whole.size() - at);
-      evbuffer_add(in.get(), whole.data() + at, n);
+      const std::size_t n = std::min<std::size_t>(it, stream.size() - at);
+      evbuffer_add(in.get(), stream.data() + at, n);
       relay.Feed(in.get(), out.get());
       at += n;
     }
-    evbuffer_add(in.get(), whole.data() + at, whole.size() - at);
+    evbuffer_add(in.get(), stream.data() + at, stream.size() - at);
     relay.Feed(in.get(), out.get());
     RC_ASSERT(Contents(out.get()) == kToken + kToken + kToken);
     RC_ASSERT(relay.tail() == kUsage + kDone);
@@ -104,8 +107,8 @@
   BOOST_TEST(BindRouterCharts().has_value());
 }
 
-// Whatever comes in whatever order, a request ends once, is billed at most
-// once, and is never refused as "not run" after it was billed.
+// For any sequence of events a request ends once, is billed at most once, and
+// is never refused as "not run" after it was billed.
 BOOST_AUTO_TEST_CASE(EveryRequestEndsInOneFinalAction) {
   const auto chart =
       BindChart<ForwardState, ForwardEvent, ForwardAction>(kForwardChart)
