--- a/kv/follower.cc
+++ b/kv/follower.cc
@@ -9,14 +9,13 @@
 namespace quaytrack {
 namespace {
 
-// A pause before another try is drawn from between these parts of
-// `Options::retry_after`, as all routers lose the store at the same moment. Not
-// measured.
-constexpr double kLeastJitter = 0.7;
-constexpr double kMostJitter = 1.3;
+// The delay before a retry is a random multiple of `Options::retry_after`
+// between these factors, because all routers lose the store at the same moment.
+constexpr double kMinJitter = 0.7;
+constexpr double kMaxJitter = 1.3;
 
-// Of the first wait after a failed call.
-constexpr Duration kPatienceAfterFailure = std::chrono::milliseconds(100);
+// Timeout of the first wait after a failed call.
+constexpr Duration kTimeoutAfterFailure = std::chrono::milliseconds(100);
 
 }  // namespace
 
@@ -31,18 +30,18 @@
 void StoreFollower::Read() {
   if (paused_) return;
   has_read_ = false;
-  reads_from_ = revision_;
+  read_start_revision_ = revision_;
   call_ = store_.Range(options_.prefix,
                        [this](const StoreSnapshot& it) { OnSnapshot(it); });
 }
 
 void StoreFollower::Wait() {
   if (paused_) return;
-  waits_from_ = revision_;
-  const Duration patience =
-      has_failed_ ? std::min(kPatienceAfterFailure, options_.patience)
+  wait_start_revision_ = revision_;
+  const Duration timeout =
+      has_failed_ ? std::min(kTimeoutAfterFailure, options_.patience)
                   : options_.patience;
-  call_ = store_.Wait(options_.prefix, revision_, patience,
+  call_ = store_.Wait(options_.prefix, revision_, timeout,
                       [this](const StoreChanges& it) { OnChanges(it); });
 }
 
@@ -51,7 +50,7 @@
   SetReachable(snapshot.end == StoreEnd::kDone);
   if (snapshot.end != StoreEnd::kDone) return RetryLater();
   has_read_ = true;
-  if (snapshot.revision < revision_) return PassOver(snapshot.revision);
+  if (snapshot.revision < revision_) return IgnoreOlder(snapshot.revision);
   logged_older_ = false;
   if (on_.answered) on_.answered();
   revision_ = snapshot.revision;
@@ -64,10 +63,11 @@
   Wait();
 }
 
-// A reading that is older than what is known, as later changes were skipped
-// while it was read, or a peer has told of a later era than the store's.
-void StoreFollower::PassOver(StoreRevision revision) {
-  if (revision < reads_from_ && !std::exchange(logged_older_, true)) {
+// Handles a snapshot that is older than the known state: later changes were
+// skipped during the read, or a peer has announced a later era than that of the
+// store.
+void StoreFollower::IgnoreOlder(StoreRevision revision) {
+  if (revision < read_start_revision_ && !std::exchange(logged_older_, true)) {
     LogEvent(Event::kReadingOlder, {{"prefix", options_.prefix},
                                     {"revision", ToText(revision)},
                                     {"known", ToText(revision_)}});
@@ -82,9 +82,9 @@
   if (changes.forgotten) return Read();
   SetReachable(changes.end == StoreEnd::kDone);
   if (changes.end != StoreEnd::kDone) return RetryLater();
-  if (changes.revision.era != waits_from_.era) return Read();
-  // Some of the changes may be older than what was skipped meanwhile.
-  if (waits_from_ < revision_) return CallLater(options_.spacing);
+  if (changes.revision.era != wait_start_revision_.era) return Read();
+  // Some of the changes may be older than those skipped during the wait.
+  if (wait_start_revision_ < revision_) return CallLater(options_.spacing);
   if (on_.answered) on_.answered();
   revision_ = std::max(revision_, changes.revision);
   if (changes.changes.empty()) return Wait();
@@ -142,7 +142,7 @@
 }
 
 void StoreFollower::RetryLater() {
-  CallLater(DrawPart(random_, retry_after_, kLeastJitter, kMostJitter));
+  CallLater(DrawPart(random_, retry_after_, kMinJitter, kMaxJitter));
   retry_after_ = std::min(retry_after_ * 2, options_.longest_retry);
 }
 
--- a/kv/follower.h
+++ b/kv/follower.h
@@ -1,39 +1,40 @@
-// StoreFollower keeps up with everything below a prefix of the store.
+// StoreFollower reads all items below a prefix of the store and follows their
+// changes.
 //
 //   StoreFollower::Options options;
 //   options.prefix = "op/";
 //   StoreFollower follower(loop, store, options, handlers);
 //   follower.Start();
-//   follower.AskAgain();          // the present wait may have been swallowed
+//   follower.AskAgain();          // the current wait may have been lost
 //
 // It reads all items, then waits for changes after that revision (a long poll),
-// and reads all anew when the store has forgotten where it was. A call that
-// fails is made again after `retry_after`, without end; what was handed out
-// stays as it was. Handlers are told of all items, of each change, and when the
-// store is lost or back.
+// and reads all items again when the store no longer has the changes since. A
+// failed call is retried after `retry_after`, without limit; what the handlers
+// have received stays valid. Handlers receive all items, each change, and
+// whether the store is reachable.
 //
-// Each answer costs a call, and a change that comes alone is answered at once.
-// Where many come one by one, as when a fleet starts, all followers would call
-// for each; so after an answer with changes the next wait is `spacing` later
-// and brings what came meanwhile together.
+// Each answer costs a call, and a single change is answered at once. When many
+// changes come one by one, as at the start of a fleet, each would cost every
+// follower a call; so after an answer with changes the next wait starts
+// `spacing` later, and its answer holds all changes since.
 //
-// The store tells what an item is when it answers. Of an item that changed
-// twice between two answers, a follower may see the later value alone.
+// The store answers with the current value of an item. If an item changes twice
+// between two answers, a follower may see only the later value.
 //
-// Two more ways to learn of changes save calls where many would follow the same
-// prefix (relay/state_feed.h). Somebody who was told of all changes up to a
-// revision says so with `SkipTo`; what the call under way then answers about
-// earlier ones is passed over, so nothing is handed out that takes back what is
-// known. And `Pause` stops calling until `Resume` goes on from there.
+// Two functions save calls where many routers follow the same prefix
+// (relay/state_feed.h). A caller that has received all changes up to a revision
+// from elsewhere calls `SkipTo`; earlier changes in the answer of the running
+// call are then ignored, so the handlers never receive an older state than the
+// known one. `Pause` stops the calls until `Resume` continues.
 //
-// A store that comes back from an older copy of itself (kv/store.h) begins a
-// later era. What was known of the era before is then read anew, however the
-// numbers compare; `CheckEra` does so when another call has shown it. A wait
-// from a number that the later era has as well may be held without an answer,
-// so the first one after a failed call is short: its answer names the era.
+// A store that was restored from an older copy (kv/store.h) is in a later era.
+// All items are then read again, however the revision numbers compare;
+// `CheckEra` does so when another call has shown the era. The store may hold a
+// wait from a number that exists in the later era too without an answer, so the
+// first wait after a failed call is short: its answer names the era.
 //
-// It owns its call and timer. Loop and store must outlive it. Revisions are the
-// store's (kv/store.h); times are of the loop.
+// It owns its call and timer. Loop and store must outlive it. Revisions are
+// those of the store (kv/store.h); times are measured by the loop.
 
 #ifndef QUAYTRACK_KV_FOLLOWER_H_
 #define QUAYTRACK_KV_FOLLOWER_H_
@@ -54,63 +55,62 @@
  public:
   struct Options {
     std::string prefix;
-    // How long one wait for changes may last. A wait that the network or the
-    // store has swallowed is noticed a little later than this, or when
-    // `AskAgain` is called. It was 3 s until commit 288b6d2, when waits were a
-    // third of the calls of a router in a large fleet; 8 s itself is not
-    // measured.
+    // Longest duration of one wait for changes. A wait that the network or the
+    // store has lost is noticed a little later than this, or when `AskAgain` is
+    // called. With 3 s, waits were a third of the calls of a router in a large
+    // fleet.
     Duration patience = std::chrono::milliseconds(8000);
-    // From a call that failed to the next, on average. It doubles with each
-    // further failure up to `longest_retry`. Not measured.
+    // Average delay from a failed call to the next. It doubles with each
+    // further failure up to `longest_retry`.
     Duration retry_after = std::chrono::milliseconds(250);
     Duration longest_retry = std::chrono::milliseconds(250);
-    // From an answer with changes to the next wait. Commit e7705ae: without it
-    // each of 143 targets cost each router a call at a start. 200 ms itself is
-    // not measured.
+    // From an answer with changes to the next wait. Without it each of 143
+    // targets cost each router a call at the start of a fleet.
     Duration spacing = std::chrono::milliseconds(200);
   };
   struct Handlers {
-    // All items there are; others that were told of before are gone.
+    // All items that exist; any other reported before has been removed.
     std::function<void(const std::vector<StoreItem>& items)> replaced;
     std::function<void(const StoreChange& change)> changed;
     // After each read, and each answer that brought changes.
     std::function<void()> settled;
-    // The store was lost (false) or is back (true).
+    // The store became unreachable (false) or reachable again (true).
     std::function<void(bool reachable)> reachable;
-    // The store has answered: what is handed out next, if anything, is all that
-    // had changed by then. Optional.
+    // The store has answered. The calls of `replaced` or `changed` that follow,
+    // if any, complete the state as of this answer. Optional.
     std::function<void()> answered = {};
   };
 
   StoreFollower(Loop& loop, KvStore& store, Options options, Handlers handlers);
 
   void Start() { Read(); }
-  // There is reason to think that the present wait is lost: waits anew. Does
-  // nothing while it reads, or pauses before the next call.
+  // Replaces the current wait, which may have been lost, by a new one. Does
+  // nothing during a read or the delay before the next call.
   void AskAgain();
-  // Calls no more, until `Resume`.
+  // Makes no calls until `Resume`.
   void Pause();
-  // Goes on from what was handed out or skipped.
+  // Continues after the last revision that was reported or skipped.
   void Resume();
-  // Reads all items anew.
+  // Reads all items again.
   void ReadAgain() { Resume(&StoreFollower::Read); }
-  // The store may be in a later era than what was read.
+  // Reads all items again if the store is in a later era than the last read.
   void CheckEra();
-  // All changes up to `revision` were handed out by somebody else; the last of
-  // them was `latest`.
+  // Tells the follower that its user has received all changes up to `revision`
+  // from elsewhere; `latest` is the revision of the last of them.
   void SkipTo(StoreRevision revision, StoreRevision latest);
-  // From the next call on; see `Options`.
-  void SetPatience(Duration patience) { options_.patience = patience; }
+  // Both hold from the next call on; see `Options`.
+  void SetPatience(Duration timeout) { options_.patience = timeout; }
   void SetRetry(Duration first, Duration longest);
 
-  // A wait is under way, so the store would tell of a change at once.
+  // A wait is running, so the store would report a change at once.
   bool IsWaiting() const { return has_read_ && call_; }
-  // All changes up to this one have been handed out or skipped; 0 before.
+  // All changes up to this one have been reported or skipped; 0 before the
+  // first read.
   StoreRevision revision() const { return revision_; }
-  // Revision of the latest change that was handed out.
+  // Revision of the latest change that was reported.
   StoreRevision latest_change() const { return latest_change_; }
-  // Whether a change of that revision would have been handed out, or, if it
-  // removed something before the first read, been seen to be missing.
+  // Whether a change of that revision is part of what the handlers received. A
+  // removal before the first read shows as a missing item.
   bool HasRead(StoreRevision revision) const {
     return revision <= std::max(revision_, latest_change_);
   }
@@ -120,9 +120,9 @@
   void Wait();
   void Resume(void (StoreFollower::*call)());
   void OnSnapshot(const StoreSnapshot& snapshot);
-  void PassOver(StoreRevision revision);
+  void IgnoreOlder(StoreRevision revision);
   void OnChanges(const StoreChanges& changes);
-  // Waits, or reads if all items have to be read.
+  // After `delay`, waits, or reads if all items have to be read.
   void CallLater(Duration delay);
   void RetryLater();
   void SetReachable(bool reachable);
@@ -132,19 +132,19 @@
   Options options_;
   Handlers on_;
   StoreRevision revision_;
-  // `revision_` when the wait under way began.
-  StoreRevision waits_from_;
-  // The same of the read under way.
-  StoreRevision reads_from_;
+  // `revision_` at the start of the current wait.
+  StoreRevision wait_start_revision_;
+  // `revision_` at the start of the current read.
+  StoreRevision read_start_revision_;
   StoreRevision latest_change_;
-  // All items were read, so changes can be waited for.
+  // All items were read, so the follower can wait for changes.
   bool has_read_ = false;
   bool reachable_ = true;
   bool logged_older_ = false;
-  // A call has failed, and none was answered since.
+  // The last call that ended has failed.
   bool has_failed_ = false;
   bool paused_ = false;
-  // The pause after the next failure.
+  // The delay after the next failure.
   Duration retry_after_;
   std::minstd_rand random_{std::random_device{}()};
   KvStore::CallPtr call_;
--- a/kv/store.h
+++ b/kv/store.h
@@ -1,34 +1,34 @@
-// KvStore: the key-value store, as the parts that keep or follow shared state
-// see it. `platform/` implements it.
+// KvStore: the interface to the key-value store that holds shared state.
+// `platform/` implements it.
 //
 //   auto reading = store.Range("op/", [](const StoreSnapshot& it) {...});
 //   auto waiting = store.Wait("op/", revision, std::chrono::seconds(8),
 //                             [](const StoreChanges& it) {...});
 //   auto writing = store.Write(write, [](const StoreWritten& it) {...});
 //
-// Each call reports once, on the loop. Whoever made it keeps the returned
-// `Call`; destroying that gives the call up, and nothing is reported.
+// Each call reports once, on the loop. The caller keeps the returned `Call`;
+// destroying it cancels the call, and nothing is reported.
 //
-// Every call ends in one of four ways. The last is why callers that write give
-// conditions, and read before they write again:
+// Every call ends in one of four ways. Because of the last one, callers that
+// write give conditions, and read before they write again:
 //
 //   kDone      answered;
 //   kRejected  a condition didn't hold: nothing was written;
-//   kRefused   answered with an error, or certainly not sent: nothing happened;
-//   kUnknown   sent, and no answer came: it may have happened, or still may.
+//   kRefused   answered with an error, or certainly not sent: nothing changed;
+//   kUnknown   sent, and no answer came: it may be done now or later.
 //
-// Eras. A store that fails may come back from an older copy of itself: changes
-// that it had acknowledged are gone, and their revisions are given out again.
-// It says in which era it is, a number that rises with each return; `era` is
-// the latest that any answer has named.
+// Eras. A store that fails may be restored from an older copy: changes that it
+// had acknowledged are lost, and their revisions are assigned again. Its
+// answers name its era, a number that rises with each restore; `era` is the
+// latest that any answer has named.
 //
-// Each change of the store has a revision (base/store_revision.h). Answers of
-// an earlier era than the latest are not reported as such: a read is refused,
-// and a write is unknown, as it may be gone. Conditions name revisions of one
-// era; a write that reaches the store in a later one ends as rejected or
-// unknown, since the same number may name another content there. Keys are text
-// and values any bytes. Times are `Duration`s; how long a call without an
-// answer lasts is set where the interface is implemented.
+// Each change of the store has a revision (base/store_revision.h). The result
+// in an answer of an earlier era than the latest is not used: a read ends as
+// refused, and a write as unknown, because it may be lost. Conditions name
+// revisions of one era; a write that reaches the store in a later one ends as
+// rejected or unknown, because the same number may name other content there.
+// Keys are text and values any bytes. Times are `Duration`s; the implementation
+// sets how long a call waits for an answer.
 
 #ifndef QUAYTRACK_KV_STORE_H_
 #define QUAYTRACK_KV_STORE_H_
@@ -62,21 +62,21 @@
 struct StoreItem {
   std::string key;
   std::string value;
-  // Of its last change; number 0 for a key that doesn't exist.
+  // Revision of its last change; number 0 for a key that doesn't exist.
   StoreRevision revision;
 };
 
-// A write is done only if a key has not changed since a revision.
+// Requires that a key has not changed since a revision.
 struct StoreCondition {
   std::string key;
-  // Revision of its last change; number 0: it must not exist.
+  // Revision of its last change; number 0: the key must not exist.
   StoreRevision revision;
 };
 
-// Done as a whole, if every condition holds.
+// An atomic write: all of it is done if every condition holds, else none.
 struct StoreWrite {
   std::vector<StoreCondition> conditions;
-  // Their revisions are not used.
+  // Revisions of these items are ignored.
   std::vector<StoreItem> puts;
   std::vector<std::string> removes;
 };
@@ -84,14 +84,14 @@
 // How a write ended.
 struct StoreWritten {
   StoreEnd end = StoreEnd::kUnknown;
-  // Of the write, after kDone.
+  // Revision of the write, after kDone.
   StoreRevision revision;
   // After kRejected, the present items of the conditions' keys.
   std::vector<StoreItem> present;
 };
 
-// All items below a prefix. They were read page by page, so a change after
-// `revision` may be among them; following from `revision` shows it again.
+// All items below a prefix. They are read page by page, so they may include
+// changes after `revision`; waiting from `revision` reports those again.
 struct StoreSnapshot {
   StoreEnd end = StoreEnd::kUnknown;
   StoreRevision revision;
@@ -99,7 +99,7 @@
 };
 
 struct StoreChange {
-  // Without a value if it was removed.
+  // Has no value if the item was removed.
   StoreItem item;
   bool removed = false;
 };
@@ -107,18 +107,18 @@
 // What changed below a prefix after a revision.
 struct StoreChanges {
   StoreEnd end = StoreEnd::kUnknown;
-  // The store has forgotten changes since the given revision: read anew.
+  // The store no longer has all changes since the given revision: read again.
   bool forgotten = false;
-  // Where the next wait starts. In another era than the one that was asked for,
-  // it says nothing of what changed before: read anew.
+  // Where the next wait starts. If its era is not that of the given revision,
+  // `changes` may be incomplete: read again.
   StoreRevision revision;
   std::vector<StoreChange> changes;
 };
 
 class KvStore {
  public:
-  // A call under way; it ends without a report when destroyed. Its report may
-  // destroy it, or put another call in its place.
+  // A running call; destroying it cancels it without a report. The handler of
+  // its report may destroy or replace the call.
   class Call {
    public:
     virtual ~Call() = default;
@@ -126,30 +126,30 @@
   using CallPtr = std::unique_ptr<Call>;
 
   virtual ~KvStore() = default;
-  // All items below `prefix`.
+  // Reads all items below `prefix`.
   virtual CallPtr Range(const std::string& prefix,
                         std::function<void(const StoreSnapshot&)> done) = 0;
-  // All of `write` or nothing.
+  // Does all of `write` or none of it.
   virtual CallPtr Write(const StoreWrite& write,
                         std::function<void(const StoreWritten&)> done) = 0;
-  // Answers as soon as something below `prefix` changed after `revision`, or
-  // without changes after `patience`.
+  // Reports as soon as something below `prefix` changed after `revision`, or
+  // without changes after `timeout`.
   virtual CallPtr Wait(const std::string& prefix, StoreRevision revision,
-                       Duration patience,
+                       Duration timeout,
                        std::function<void(const StoreChanges&)> done) = 0;
   // Calls made so far.
   virtual std::uint64_t calls() const = 0;
 
-  // 0 before the first answer, and for a store that names none.
+  // 0 before the first answer, and for a store that names no era.
   std::int64_t era() const { return era_; }
-  // Called when the store has come back in a later era, while an answer is
-  // being reported; the handler must not end calls.
+  // Sets the handler for a change to a later era. It is called while an answer
+  // is being reported, and must not destroy calls.
   void OnNewEra(std::function<void()> handler) {
     on_new_era_ = std::move(handler);
   }
 
  protected:
-  // An answer is of this era.
+  // Called by the implementation with the era that an answer names.
   void NoteEra(std::int64_t era) {
     if (era <= era_) return;
     const std::int64_t before = std::exchange(era_, era);
--- a/kv/testing/follower_test.cc
+++ b/kv/testing/follower_test.cc
@@ -1,4 +1,5 @@
-// The follower of a prefix, against a store in memory and the real loop.
+// Tests of StoreFollower against scripted in-memory stores and the real loop:
+// reads, waits, retries, spacing of waits and changes of the store's era.
 
 #include "kv/follower.h"
 
@@ -14,7 +15,7 @@
 
 using std::chrono::milliseconds;
 
-// Answers every read as empty, and every wait at once with one change.
+// Answers every read with no items, and every wait at once with one change.
 class BusyStore final : public KvStore {
  public:
   explicit BusyStore(Loop& loop) : loop_(loop) {}
@@ -64,15 +65,15 @@
   };
   on.reachable = [](bool) {};
   StoreFollower follower(loop, store, options, on);
-  const Instant begun = clock.Now();
+  const Instant start = clock.Now();
   follower.Start();
   loop.Run();
-  BOOST_TEST((clock.Now() - begun >= kSpacing * (kAnswers - 1)));
+  BOOST_TEST((clock.Now() - start >= kSpacing * (kAnswers - 1)));
   BOOST_TEST(store.waits == static_cast<std::uint64_t>(kAnswers));
 }
 
-// An entry that went before the first read left a revision that no item has; a
-// router that takes it for unread asks again and again.
+// Guards against endless calls for a revision that no item has: an entry was
+// removed before the first read, and a router took its revision for unread.
 BOOST_AUTO_TEST_CASE(WhatWentBeforeTheFirstReadHasBeenRead) {
   Loop loop;
   BusyStore store(loop);
@@ -84,14 +85,14 @@
   StoreFollower follower(loop, store, {"a/"}, on);
   follower.Start();
   loop.Run();
-  // The store is at 1 and has no items.
+  // The store is at revision 1 and has no items.
   BOOST_TEST(follower.latest_change() == 0);
   BOOST_TEST(follower.HasRead(1));
   BOOST_TEST(!follower.HasRead(2));
 }
 
-// What the handlers of a follower were told, in order.
-struct Told {
+// Records the calls of a follower's handlers, in order.
+struct HandlerLog {
   StoreFollower::Handlers Handlers() {
     StoreFollower::Handlers out;
     out.replaced = [this](const std::vector<StoreItem>& items) {
@@ -111,7 +112,7 @@
 };
 
 struct FollowFixture {
-  FollowFixture() : follower(loop, store, Options(), told.Handlers()) {
+  FollowFixture() : follower(loop, store, Options(), log.Handlers()) {
     follower.Start();
   }
   static StoreFollower::Options Options() {
@@ -127,58 +128,58 @@
   bool AnswerWait(const StoreChanges& it) { return store.AnswerWait("a/", it); }
 
   using Lines = std::vector<std::string>;
-  // Beyond a pause with its jitter.
+  // Longer than a delay with its jitter.
   static constexpr Duration kPause = milliseconds(50);
   Loop loop;
   ScriptedStore store;
-  Told told;
+  HandlerLog log;
   StoreFollower follower;
 };
 
 BOOST_FIXTURE_TEST_CASE(ItReadsAllAndThenFollows, FollowFixture) {
   BOOST_TEST(AnswerRead(StoreEnd::kDone));
-  BOOST_TEST((told.Take() == Lines{"all 1", "settled"}));
+  BOOST_TEST((log.Take() == Lines{"all 1", "settled"}));
   BOOST_TEST(follower.latest_change() == 2);
   BOOST_TEST(AnswerWait({StoreEnd::kDone, false, 5, {{{"a/b", "", 5}, true}}}));
-  BOOST_TEST((told.Take() == Lines{"gone a/b", "settled"}));
+  BOOST_TEST((log.Take() == Lines{"gone a/b", "settled"}));
   BOOST_TEST(follower.latest_change() == 5);
   RunFor(loop, kPause);
-  // An answer without changes tells nothing, and the next wait follows at once.
+  // An answer without changes calls no handler; the next wait starts at once.
   BOOST_TEST(AnswerWait({StoreEnd::kDone, false, 9, {}}));
-  BOOST_TEST(told.Take().empty());
+  BOOST_TEST(log.Take().empty());
   BOOST_TEST(follower.HasRead(9));
   BOOST_TEST(AnswerWait({StoreEnd::kDone, false, 9, {}}));
 }
 
 BOOST_FIXTURE_TEST_CASE(AForgottenHistoryIsReadAnewAtOnce, FollowFixture) {
   AnswerRead(StoreEnd::kDone);
-  told.Take();
+  log.Take();
   BOOST_TEST(AnswerWait({StoreEnd::kRefused, true, 0, {}}));
-  // The store is there.
-  BOOST_TEST(told.Take().empty());
+  // The store is reachable.
+  BOOST_TEST(log.Take().empty());
   BOOST_TEST(AnswerRead(StoreEnd::kDone));
-  BOOST_TEST((told.Take() == Lines{"all 1", "settled"}));
+  BOOST_TEST((log.Take() == Lines{"all 1", "settled"}));
 }
 
 BOOST_FIXTURE_TEST_CASE(AStoreThatIsLostIsAskedUntilItIsBack, FollowFixture) {
   AnswerRead(StoreEnd::kDone);
-  told.Take();
+  log.Take();
   for (const StoreEnd it : {StoreEnd::kUnknown, StoreEnd::kRefused}) {
     BOOST_TEST(AnswerWait({it, false, 0, {}}));
     RunFor(loop, kPause);
   }
-  // Said once.
-  BOOST_TEST((told.Take() == Lines{"lost"}));
+  // Reported once.
+  BOOST_TEST((log.Take() == Lines{"lost"}));
   BOOST_TEST(
       AnswerWait({StoreEnd::kDone, false, 6, {{{"a/c", "", 6}, false}}}));
-  BOOST_TEST((told.Take() == Lines{"back", "new a/c", "settled"}));
+  BOOST_TEST((log.Take() == Lines{"back", "new a/c", "settled"}));
 }
 
 BOOST_FIXTURE_TEST_CASE(AFirstReadThatFailsIsMadeAgain, FollowFixture) {
   BOOST_TEST(AnswerRead(StoreEnd::kRefused));
   RunFor(loop, kPause);
   BOOST_TEST(AnswerRead(StoreEnd::kDone));
-  BOOST_TEST((told.Take() == Lines{"lost", "back", "all 1", "settled"}));
+  BOOST_TEST((log.Take() == Lines{"lost", "back", "all 1", "settled"}));
 }
 
 BOOST_FIXTURE_TEST_CASE(OnlyAWaitIsAskedAgain, FollowFixture) {
@@ -188,15 +189,15 @@
   follower.AskAgain();
   BOOST_TEST(store.waits.started == 2U);
   BOOST_TEST(AnswerWait({StoreEnd::kDone, false, 5, {{{"a/b", "", 5}, true}}}));
-  // The one before it was dropped.
+  // The wait before it was cancelled.
   BOOST_TEST(!AnswerWait({StoreEnd::kDone, false, 5, {}}));
-  // It pauses.
+  // The follower is in the delay before its next call.
   follower.AskAgain();
   BOOST_TEST(store.waits.started == 2U);
 }
 
-// Guards against a later era that isn't seen for long, as it holds a wait from
-// a number that it has as well.
+// Guards against late detection of a new era: the store holds a wait whose
+// revision number exists in the new era too until the wait times out.
 BOOST_AUTO_TEST_CASE(TheFirstWaitAfterAFailureIsShort) {
   Loop loop;
   ScriptedStore store;
@@ -216,7 +217,7 @@
   BOOST_TEST(store.AnswerWait("a/", {StoreEnd::kUnknown, false, {}, {}}));
   RunFor(loop, milliseconds(20));
   BOOST_TEST((store.last_patience["a/"] < milliseconds(200)));
-  // It shows the later era, so all is read anew.
+  // Its answer names the later era, so all items are read again.
   BOOST_TEST(store.AnswerWait("a/", {StoreEnd::kDone, false, {2, 5}, {}}));
   BOOST_TEST(store.AnswerRange("a/", {StoreEnd::kDone, {2, 5}, {}}));
   BOOST_TEST(follower.revision() == StoreRevision(2, 5));
--- a/kv/testing/scripted_store.h
+++ b/kv/testing/scripted_store.h
@@ -1,10 +1,11 @@
-// A store whose calls stay open until the test answers them, by prefix.
+// ScriptedStore: a store whose calls stay open until the test answers them, by
+// prefix.
 //
 //   ScriptedStore store;
 //   store.AnswerRange("t/", {StoreEnd::kDone, 5, items});
 //   store.AnswerWait("t/", {StoreEnd::kDone, false, 6, changes});
 //
-// A call that its owner has dropped is no longer there to answer.
+// A call that its owner has destroyed is cancelled: it can't be answered.
 
 #ifndef QUAYTRACK_KV_TESTING_SCRIPTED_STORE_H_
 #define QUAYTRACK_KV_TESTING_SCRIPTED_STORE_H_
@@ -33,9 +34,9 @@
     last_write = write;
     return writes.Add(write.puts.at(0).key, std::move(done));
   }
-  CallPtr Wait(const std::string& prefix, StoreRevision, Duration patience,
+  CallPtr Wait(const std::string& prefix, StoreRevision, Duration timeout,
                std::function<void(const StoreChanges&)> done) override {
-    last_patience[prefix] = patience;
+    last_patience[prefix] = timeout;
     return waits.Add(prefix, std::move(done));
   }
   std::uint64_t calls() const override {
@@ -59,11 +60,11 @@
     struct Entry {
       std::string key;
       Done done;
-      bool dropped = false;
+      bool cancelled = false;
     };
     struct Handle final : Call {
       explicit Handle(std::shared_ptr<Entry> it) : entry(std::move(it)) {}
-      ~Handle() override { entry->dropped = true; }
+      ~Handle() override { entry->cancelled = true; }
       std::shared_ptr<Entry> entry;
     };
 
@@ -76,7 +77,7 @@
     }
     // False if no such call is open.
     bool Answer(const std::string& key, const Result& result) {
-      entries.remove_if([](const auto& it) { return it->dropped; });
+      entries.remove_if([](const auto& it) { return it->cancelled; });
       for (const auto& it : entries) {
         if (it->key != key) continue;
         const std::shared_ptr<Entry> entry = it;
@@ -91,7 +92,7 @@
     std::map<std::string, int> started_by_key;
     std::list<std::shared_ptr<Entry>> entries;
   };
-  // Of the latest wait for each prefix.
+  // Timeout of the latest wait for each prefix.
   std::map<std::string, Duration> last_patience;
   OpenCalls<StoreSnapshot> ranges;
   OpenCalls<StoreWritten> writes;
