--- a/base/cbor.h
+++ b/base/cbor.h
@@ -1,10 +1,10 @@
-// Values as CBOR (RFC 8949), by way of JSON.
+// Encodes JSON values as CBOR (RFC 8949) and decodes them.
 //
-// Everything that processes of quaytrack tell each other or keep in the store
-// as bytes is written and read here. The bytes may come from anywhere: another
-// version, a damaged record, a stranger. So reading never throws and never ends
-// the process; what isn't the expected value is no value, and the caller says
-// so in the log.
+// Binary messages between quaytrack processes, and binary records in the store,
+// are encoded and decoded here. The bytes are untrusted: they may come from
+// another version, a damaged record or a foreign process. So decoding never
+// throws and never ends the process: for anything but the expected value it
+// returns std::nullopt, and the caller logs that.
 //
 //   const std::string bytes = ToCbor({{"vm", "vm-7"}});
 //   const auto vm = FromCbor(bytes, [](const nlohmann::json& json) {
@@ -12,7 +12,7 @@
 //   });
 //   if (!vm) ...                              // not CBOR, or has no "vm"
 //
-// It relies on nlohmann::json and owns nothing.
+// Relies on nlohmann::json; owns nothing.
 
 #ifndef QUAYTRACK_BASE_CBOR_H_
 #define QUAYTRACK_BASE_CBOR_H_
@@ -24,18 +24,18 @@
 
 namespace quaytrack {
 
-// Strings may hold any bytes; they needn't be UTF-8.
+// Encodes `json`. Its strings may hold any bytes; they needn't be UTF-8.
 inline std::string ToCbor(const nlohmann::json& json) {
   const auto bytes = nlohmann::json::to_cbor(json);
   return {bytes.begin(), bytes.end()};
 }
 
-// What `read` makes of the bytes. Empty if they aren't CBOR, or if `read`
-// throws a nlohmann::json::exception, as `at` and `get` do for what they don't
-// find.
+// Decodes `bytes` and returns the result of `read`. Empty if they aren't CBOR,
+// or if `read` throws a nlohmann::json::exception, as `at` and `get` do for a
+// missing key or a wrong type.
 //
-// The parser can be told not to throw, but it throws all the same for a length
-// that can't be (docs/FINDINGS.md), so the exceptions are caught here.
+// The parser has a mode without exceptions, but even there it throws for an
+// impossible length (docs/FINDINGS.md), so the exceptions are caught here.
 template <class Read>
 auto FromCbor(std::string_view bytes, Read read)
     -> std::optional<decltype(read(nlohmann::json()))> {
--- a/base/clock.h
+++ b/base/clock.h
@@ -1,22 +1,22 @@
-// Time, as the rest of the code sees it.
+// Types for time, and the clock interface.
 //
-// Classes that decide never read a clock. They take `Instant now` as a
-// parameter, so that a test can replay any order of events at any speed. Code
-// that owns sockets and timers reads the time from the `Clock` that it was
-// given, once for each event.
+// Classes that hold decision logic never read a clock. They take `Instant now`
+// as a parameter, so that a test can replay any order of events at any speed.
+// Code that owns sockets and timers reads the time once for each event, from
+// the `Clock` that is passed to it.
 //
 //   const SystemClock clock;
-//   const Instant begun = clock.Now();
+//   const Instant start = clock.Now();
 //   ...
-//   const Duration took = clock.Now() - begun;
+//   const Duration took = clock.Now() - start;
 //
-// Two kinds of time are kept apart on purpose:
+// Two kinds of time are separate types:
 //   Instant   monotonic, for delays, deadlines and rates inside one process. On
-//             Linux it counts from the machine's boot, so two processes of one
-//             boot may compare theirs (prepaid/prepaid_record.h, Withheld
-//             parts);
+//             Linux it counts from the machine's boot, so processes on one
+//             machine may compare instants until it reboots
+//             (prepaid/prepaid_record.h, withheld parts);
 //   WallTime  calendar time, for records that people read. It may jump, so
-//             nothing that affects safety is ever derived from it.
+//             nothing that affects safety is derived from it.
 //
 // Durations are nanoseconds; wall time has milliseconds. Nothing here fails.
 
@@ -33,12 +33,12 @@
 using WallTime = std::chrono::time_point<std::chrono::system_clock,
                                          std::chrono::milliseconds>;
 
-// A time that comes from elsewhere is taken back to this. Some thousand years
-// from now, far from where the arithmetic of clocks ends.
+// Upper limit to which a wall time from another process is clamped. It lies
+// some thousand years ahead, far below where clock arithmetic overflows.
 inline constexpr WallTime kLatestWallTime{
     std::chrono::milliseconds(std::int64_t{1} << 47)};
 
-// Source of both kinds of time. Tests pass one that they set themselves.
+// Source of both kinds of time. Tests implement it with a settable time.
 class Clock {
  public:
   virtual ~Clock() = default;
@@ -46,7 +46,7 @@
   virtual WallTime WallNow() const = 0;
 };
 
-// The machine's own clocks.
+// The machine's clocks.
 class SystemClock final : public Clock {
  public:
   Instant Now() const override { return std::chrono::steady_clock::now(); }
--- a/base/enum_table.h
+++ b/base/enum_table.h
@@ -1,8 +1,8 @@
 // Names for the values of an `enum class`, kept in one table each.
 //
-// The names go into logs, metrics, messages and settings, and are read back
-// from the latter two. A table stands beside its enum, so that whoever adds a
-// value sees that it needs a name.
+// The names appear in logs, metrics, messages and settings, and are parsed from
+// the latter two. A table stands beside its enum, so that it is in view when a
+// value is added that needs a name.
 //
 //   enum class Color { kRed, kBlue };
 //   template <>
@@ -14,8 +14,8 @@
 //   FromName<Color>("blue");      // Color::kBlue
 //   FromName<Color>("green");     // empty
 //
-// Look-ups go through the whole table; tables have a dozen entries. Nothing is
-// allocated and nothing throws.
+// Look-ups scan the table linearly; tables have a dozen entries. The functions
+// neither allocate nor throw.
 
 #ifndef QUAYTRACK_BASE_ENUM_TABLE_H_
 #define QUAYTRACK_BASE_ENUM_TABLE_H_
@@ -32,7 +32,7 @@
   std::string_view name;
 };
 
-// Specialised beside each enum that has names.
+// Specialised for each enum that has names.
 template <class E>
 struct EnumTable;
 
@@ -41,7 +41,7 @@
   EnumTable<E>::kEntries;
 };
 
-// The name of `value`; "?" if the table lacks it, which is a mistake.
+// The name of `value`; "?" if the table lacks it, which is a bug.
 template <NamedEnum E>
 constexpr std::string_view NameOf(E value) {
   for (const auto& it : EnumTable<E>::kEntries) {
@@ -50,7 +50,7 @@
   return "?";
 }
 
-// The value called `name`, if there is one.
+// The value with this name; empty if there is none.
 template <NamedEnum E>
 constexpr std::optional<E> FromName(std::string_view name) {
   for (const auto& it : EnumTable<E>::kEntries) {
--- a/base/events.h
+++ b/base/events.h
@@ -1,18 +1,18 @@
 // The catalogue of log events. Every log line carries one of these numbers, so
-// that operators can search for a number and not for wording.
+// that operators can search by number, whatever the wording.
 //
 //   LogEvent(Event::kReady, {{"config", "7"}});   // base/log.h
 //
-// docs/EVENTS.md explains each event and what to do about it; a test holds the
-// two equal (base/testing/catalogue_test.cc). Numbers, names and fields are
-// read by operators' tools, so none of them may change its meaning.
+// docs/EVENTS.md explains each event and what to do about it; a test checks
+// that both list the same events (base/testing/catalogue_test.cc). Operators'
+// tools read numbers, names and fields, so none may change its meaning.
 //
-// Both programs use the catalogue, and many events belong to one of them only.
+// The router and the relay share the catalogue; many events occur in only one.
 //
-// An event's level says who has to look:
+// Levels:
 //   debug  for each request; off by default;
-//   info   the ordinary course of things, and one line a request of the relay;
-//   warn   something was lost or refused that may need a look;
+//   info   normal operation, and one line for each request of the relay;
+//   warn   something was lost or refused, and an operator may have to look;
 //   error  an operator has to act.
 
 #ifndef QUAYTRACK_BASE_EVENTS_H_
@@ -26,7 +26,7 @@
 enum class LogLevel { kDebug, kInfo, kWarn, kError };
 
 enum class Event {
-  // 10xx: the process.
+  // 10xx: the process itself.
   kStarted = 1001,
   kReady = 1002,
   kDrainStarted = 1003,
@@ -38,7 +38,7 @@
   kLogDropped = 1009,
   kLinkBusy = 1010,
   kLinkEased = 1011,
-  // 11xx: the store, the other routers, the VM list.
+  // 11xx: the store, other routers, the VM list.
   kKvLost = 1101,
   kKvBack = 1102,
   kRegistered = 1103,
@@ -55,7 +55,7 @@
   kFeedNewsRefused = 1114,
   kStoreEra = 1115,
   kReadingOlder = 1116,
-  // 12xx: bundles, configurations, items of the store that can't be read.
+  // 12xx: bundles, configurations, store items that can't be read.
   kBundleTaken = 1201,
   kBundleRefused = 1202,
   kConfigTaken = 1203,
--- a/base/ids.h
+++ b/base/ids.h
@@ -1,12 +1,12 @@
-// Identifiers as distinct types, so that a customer's name can never be passed
-// where a budget's name is expected.
+// Identifiers as distinct types, so that passing a customer's name where a
+// budget's name is expected doesn't compile.
 //
 //   const CustomerName customer("clinic-a");
 //   std::map<BudgetName, Tokens> by_budget;
 //   VmOf(Incarnation("vm-7@19ac-5e0c"));    // VmName("vm-7")
 //
 // An id owns its text, compares by it, and may key ordered and hashed maps. Any
-// text is allowed here; whoever reads an id from outside checks it.
+// text is allowed here; code that reads an id from outside validates it.
 
 #ifndef QUAYTRACK_BASE_IDS_H_
 #define QUAYTRACK_BASE_IDS_H_
@@ -35,32 +35,32 @@
 using ModelName = Id<struct ModelTag>;
 using ServiceName = Id<struct ServiceTag>;
 using TargetName = Id<struct TargetTag>;
-// One start of a target: a target that ends may start again under its name.
+// One run of a target: a target that ended may start again under its name.
 using TargetStart = Id<struct TargetStartTag>;
-// Of a target's software.
+// A version of a target's software.
 using VersionName = Id<struct VersionTag>;
 using HallName = Id<struct HallTag>;
-// Halls that are near each other; see base/residency.h.
+// A group of halls that are near each other; see base/residency.h.
 using RegionName = Id<struct RegionTag>;
 using VmName = Id<struct VmTag>;
 using RequestId = Id<struct RequestTag>;
-// By which a caller's request is known again (relay/fingerprint.h).
+// Identifies requests of a caller that are equal (relay/fingerprint.h).
 using Fingerprint = Id<struct FingerprintTag>;
 // The caller's Idempotency-Key header.
 using IdempotencyKey = Id<struct IdempotencyTag>;
 
 // One run of a process on one VM: "<vm>@<suffix>". The suffix differs with each
-// start, so that a restart is a new incarnation, even at the same address. The
-// relay's is random ("vm-7@5e0c91d2"); the router's begins with the time of its
-// start ("vm-7@<start>-<random>").
+// start, so that a restart is a new incarnation, even at the same address. A
+// relay's suffix is random ("vm-7@5e0c91d2"); a router's begins with its start
+// time ("vm-7@<start>-<random>").
 using Incarnation = Id<struct IncarnationTag>;
 
-// Prepaid units, signed so that a difference can be negative. For the relay
-// they are the tokens of prompts and answers; for the router, prices in the
-// bundle turn model tokens and service calls into these.
+// Prepaid units, signed so that a difference can be negative. In the relay they
+// are the tokens of prompts and answers; in the router they are computed from
+// model tokens and service calls with the prices in the bundle.
 using Tokens = std::int64_t;
 
-// The VM part of an incarnation's name; all of it if it has no '@'.
+// The VM part of an incarnation; all of its text if it has no '@'.
 inline VmName VmOf(const Incarnation& it) {
   return VmName(it.value.substr(0, it.value.rfind('@')));
 }
--- a/base/jitter.h
+++ b/base/jitter.h
@@ -1,10 +1,10 @@
-// Random pauses, so that processes that started together, or that lost the same
-// thing at the same moment, don't all call again together.
+// Random pauses, so that processes that started together, or lost the same
+// dependency at the same moment, don't all retry together.
 //
 //   const Duration pause = DrawPart(random, retry_after, 0.7, 1.3);
 //
-// The caller owns the source of random numbers, and says why it needs the
-// spread and how wide it is. Nothing here fails.
+// The caller owns the source of random numbers, and documents why it spreads
+// its pauses and how widely. Nothing here fails.
 
 #ifndef QUAYTRACK_BASE_JITTER_H_
 #define QUAYTRACK_BASE_JITTER_H_
@@ -16,11 +16,12 @@
 
 namespace quaytrack {
 
-// A part of `whole`, drawn evenly from `least` times it to `most` times it.
-inline Duration DrawPart(std::minstd_rand& random, Duration whole, double least,
-                         double most) {
-  std::uniform_real_distribution<double> part(least, most);
-  return std::chrono::duration_cast<Duration>(whole * part(random));
+// `base` times a factor that is uniformly distributed from `min_factor` to
+// `max_factor`.
+inline Duration DrawPart(std::minstd_rand& random, Duration base,
+                         double min_factor, double max_factor) {
+  std::uniform_real_distribution<double> factor(min_factor, max_factor);
+  return std::chrono::duration_cast<Duration>(base * factor(random));
 }
 
 }  // namespace quaytrack
--- a/base/log.cc
+++ b/base/log.cc
@@ -84,7 +84,7 @@
   return out;
 }
 
-// The line that tells of dropped ones; it has no time of its own.
+// The line that reports dropped lines; it carries no time.
 std::string DroppedLine(std::uint64_t lines) {
   const EventInfo& info = InfoOf(Event::kLogDropped);
   const std::string count = std::to_string(lines);
@@ -94,7 +94,7 @@
   return "WARN " + AsText(info, {{"lines", count}}) + "\n";
 }
 
-// Hands formatted lines to the sink, which never waits.
+// Passes formatted lines to the sink, which never blocks.
 class SinkAppender final : public log4cxx::AppenderSkeleton {
  public:
   explicit SinkAppender(log4cxx::LayoutPtr layout)
@@ -117,7 +117,7 @@
   LogSink sink_;
 };
 
-// Owned by log4cxx, which ends before static objects of ours would.
+// Owned by log4cxx, which is destroyed before our static objects would be.
 std::weak_ptr<SinkAppender> g_appender;
 
 }  // namespace
@@ -130,7 +130,8 @@
 void SetUpLog(LogFormat format, LogLevel level) {
   g_format = format;
   g_level = level;
-  // The JSON line carries its level itself, and has no opening brace.
+  // The message of a JSON line includes the level; LogEvent strips its opening
+  // brace, as the pattern supplies one.
   const char* pattern = format == LogFormat::kJson
                             ? "{\"time\":\"%d{yyyy-MM-ddTHH:mm:ss.SSS}{GMT}Z\","
                               "%m%n"
--- a/base/log.h
+++ b/base/log.h
@@ -1,5 +1,5 @@
-// Logging by log4cxx: one numbered event a line, as text or JSON, to standard
-// error.
+// Logging with log4cxx: writes one numbered event per line, as text or JSON, to
+// standard error.
 //
 //   SetUpLog(LogFormat::kText, LogLevel::kInfo);       // once, at the start
 //   LogEvent(Event::kTargetLeaving, {{"target", name}, {"by", "vm_list"}});
@@ -7,12 +7,12 @@
 // prints   2026-12-02T09:30:00.125Z INFO QT1301 target_leaving target=e-1
 //          by=vm_list                                          (on one line)
 //
-// Times are UTC with milliseconds. Values that could be taken for another field
+// Times are UTC with milliseconds. Values that could be read as another field
 // or line are quoted, so that a caller's text can't forge one.
 //
-// The log never holds up the process: a reader that is slow costs lines, which
-// are counted (base/log_sink.h). It is one for the whole process and belongs to
-// the thread of the event loop.
+// Logging never blocks: if the log's reader is slow, lines are dropped and
+// counted (base/log_sink.h). The process has one log, and only the event loop's
+// thread may use it.
 
 #ifndef QUAYTRACK_BASE_LOG_H_
 #define QUAYTRACK_BASE_LOG_H_
@@ -45,14 +45,14 @@
                                           {LogLevel::kError, "error"}});
 };
 
-// A fact that decided, or what came of it. Units are part of the name, as in
-// "age_ms".
+// An input of the decision that is logged, or its result. The name ends in the
+// unit, as in "age_ms".
 struct LogField {
   std::string_view name;
   std::string value;
 };
 
-// The value of a field whose name ends in "_ms".
+// Formats the value of a field whose name ends in "_ms".
 inline std::string MillisecondsText(Duration d) {
   return std::to_string(
       std::chrono::duration_cast<std::chrono::milliseconds>(d).count());
@@ -62,10 +62,10 @@
 // non-blocking. Called once, before the first event.
 void SetUpLog(LogFormat format, LogLevel level);
 
-// Lines dropped since the start because the reader was slow.
+// Lines dropped since the process started because the reader was slow.
 std::uint64_t LogLinesDropped();
 
-// Whether an event would be printed; lets hot paths skip building fields.
+// Whether an event is printed; lets hot paths skip building fields.
 bool LogEnabled(Event event);
 
 // Prints the event with its fields in this order, if its level is on.
--- a/base/log_sink.cc
+++ b/base/log_sink.cc
@@ -13,22 +13,22 @@
 }
 
 void LogSink::Flush() {
-  if (kept_.empty()) return;
-  const ssize_t n = write(fd_, kept_.data(), kept_.size());
-  if (n > 0) kept_.erase(0, static_cast<std::size_t>(n));
+  if (buffer_.empty()) return;
+  const ssize_t n = write(fd_, buffer_.data(), buffer_.size());
+  if (n > 0) buffer_.erase(0, static_cast<std::size_t>(n));
 }
 
 void LogSink::Write(std::string_view line) {
   Flush();
-  if (kept_.size() + line.size() > kMostKept) {
+  if (buffer_.size() + line.size() > kMaxBuffered) {
     ++dropped_;
     return;
   }
   if (dropped_ > reported_) {
-    kept_ += report_(dropped_ - reported_);
+    buffer_ += report_(dropped_ - reported_);
     reported_ = dropped_;
   }
-  kept_ += line;
+  buffer_ += line;
   Flush();
 }
 
--- a/base/log_sink.h
+++ b/base/log_sink.h
@@ -1,23 +1,23 @@
-// LogSink writes log lines to a descriptor and never waits for its reader.
+// LogSink writes log lines to a file descriptor and never blocks.
 //
 //   LogSink sink(STDERR_FILENO, [](std::uint64_t lines) {
 //     return std::to_string(lines) + " lines are missing here\n";
 //   });
 //   sink.Write("a line\n");
 //
-// The rule. What the descriptor doesn't take at once is kept, up to `kMostKept`
-// bytes; beyond that, whole lines are dropped and counted. The count is
-// reported as a line of its own as soon as there is room again, so that a gap
-// in a log shows where it is. A process whose log is read slowly must serve
-// like one whose log is read fast.
+// Bytes that the descriptor doesn't accept at once are buffered, up to
+// `kMaxBuffered`; beyond that, whole lines are dropped and counted. Once the
+// buffer has room again, a separate line reports the count, so that a log shows
+// where its gaps are. This way a slow reader of the log doesn't slow down the
+// requests that the process serves.
 //
-// What is kept goes out with the next `Write`; there is no timer. It is lost
-// when the process ends.
+// The buffer is flushed by the next `Write`; there is no timer. Its content is
+// lost when the process ends.
 //
 // Errors of the descriptor aren't reported, as there is nowhere to report them:
-// a reader that has gone looks like one that is slow.
+// a closed reader is treated like a slow one.
 //
-// It doesn't own the descriptor. Sizes are in bytes.
+// LogSink doesn't own the descriptor. Sizes are in bytes.
 
 #ifndef QUAYTRACK_BASE_LOG_SINK_H_
 #define QUAYTRACK_BASE_LOG_SINK_H_
@@ -32,14 +32,14 @@
 
 class LogSink {
  public:
-  // Bytes kept for a reader that is slow: some hundred lines. Not measured.
-  static constexpr std::size_t kMostKept = 64 * 1024;
+  // Bytes buffered for a slow reader: some hundred lines.
+  static constexpr std::size_t kMaxBuffered = 64 * 1024;
 
-  // Makes `fd` non-blocking. `report` turns a number of dropped lines into the
-  // line that tells of them.
+  // Makes `fd` non-blocking. `report` formats the line that reports a number
+  // of dropped lines.
   LogSink(int fd, std::function<std::string(std::uint64_t)> report);
 
-  // `line` ends with a newline. It is written, kept or dropped as a whole.
+  // `line` ends with a newline. It is written, buffered or dropped as a whole.
   void Write(std::string_view line);
   // Lines dropped so far.
   std::uint64_t dropped() const { return dropped_; }
@@ -49,7 +49,7 @@
 
   int fd_;
   std::function<std::string(std::uint64_t)> report_;
-  std::string kept_;
+  std::string buffer_;
   std::uint64_t dropped_ = 0;
   std::uint64_t reported_ = 0;
 };
--- a/base/parse_number.h
+++ b/base/parse_number.h
@@ -1,12 +1,13 @@
-// Reads a number that is the whole of a text.
+// Parses a number that makes up an entire text.
 //
 //   ParseNumber<int>("15");                 // 15
 //   ParseNumber<std::uint64_t>("5c1e", 16); // 0x5c1e
-//   ParseNumber<int>("15 ms");              // nothing
+//   ParseNumber<int>("15 ms");              // std::nullopt
 //   ParseDecimal("1.5");                    // 1.5
 //
-// Nothing is returned for an empty text, blanks, a leading plus, anything after
-// the digits, or a number that `T` can't hold. Bounds are the caller's matter.
+// The result is std::nullopt for an empty text, blanks, a leading plus,
+// anything after the digits, or a number that `T` can't hold. Callers check
+// bounds.
 
 #ifndef QUAYTRACK_BASE_PARSE_NUMBER_H_
 #define QUAYTRACK_BASE_PARSE_NUMBER_H_
@@ -19,7 +20,8 @@
 
 namespace quaytrack {
 
-// `T` is an integer type. (No concept says so: peer_link.cc is C++17.)
+// `T` is an integer type. (There is no concept for it, as peer_link.cc is
+// compiled as C++17.)
 template <class T>
 std::optional<T> ParseNumber(std::string_view text, int base = 10) {
   T out{};
@@ -35,8 +37,8 @@
   const char* end = text.data() + text.size();
   const auto [stop, ec] =
       std::from_chars(text.data(), end, out, std::chars_format::fixed);
-  const bool whole = ec == std::errc() && stop == end;
-  return whole && std::isfinite(out) ? std::optional(out) : std::nullopt;
+  const bool complete = ec == std::errc() && stop == end;
+  return complete && std::isfinite(out) ? std::optional(out) : std::nullopt;
 }
 
 }  // namespace quaytrack
--- a/base/rate.h
+++ b/base/rate.h
@@ -1,13 +1,13 @@
-// DecayingRate: how fast something has happened of late, in units a second.
+// DecayingRate is an exponentially decaying rate, in units per second.
 //
 //   DecayingRate rate(std::chrono::seconds(30));
 //   rate.Add(now, 120);
 //   rate.PerSecond(now);
 //
-// What happened `tau` ago counts for 1/e of what happens now, so that a burst
-// fades by itself, also while nothing is added. It keeps two numbers, whatever
-// the rate. `now` is the caller's clock; a time before the latest one counts as
-// the latest.
+// Units added `tau` ago weigh 1/e of units added now, so a burst decays even
+// while nothing is added. Memory use doesn't depend on the rate: the state is
+// two numbers. The caller passes the time as `now`; a time before the latest
+// one counts as the latest.
 
 #ifndef QUAYTRACK_BASE_RATE_H_
 #define QUAYTRACK_BASE_RATE_H_
--- a/base/residency.h
+++ b/base/residency.h
@@ -1,14 +1,14 @@
-// Residency: the regions in which a request may be processed.
+// Residency is the set of regions in which a request may be processed.
 //
 //   const Residency anywhere;
 //   const Residency north({RegionName("north")});
 //   const Residency both = route.residency.And(customer.residency);
-//   if (both.IsNowhere()) ...           // nothing may serve the request
+//   if (both.IsNowhere()) ...           // no region may serve the request
 //   if (both.Allows(region)) ...
 //
-// A residency that names regions allows no other, and never one that isn't
-// known. One that names none of them allows nothing, which differs from having
-// no residency at all.
+// A residency with a list of regions allows only these, and never an unknown
+// region. A residency with an empty list allows no region, while a
+// default-constructed one allows every region.
 
 #ifndef QUAYTRACK_BASE_RESIDENCY_H_
 #define QUAYTRACK_BASE_RESIDENCY_H_
@@ -25,19 +25,19 @@
 
 class Residency {
  public:
-  // Anywhere.
+  // Allows every region.
   Residency() = default;
-  // Only there.
+  // Allows only `regions`.
   explicit Residency(std::set<RegionName> regions)
       : regions_(std::move(regions)) {}
 
   bool IsNowhere() const { return regions_ && regions_->empty(); }
-  // An empty name is a region that isn't known.
+  // An empty name stands for an unknown region.
   bool Allows(const RegionName& region) const {
     return !regions_ || (!region.empty() && regions_->contains(region));
   }
 
-  // What both allow.
+  // The regions that both allow.
   Residency And(const Residency& other) const {
     if (!regions_) return other;
     if (!other.regions_) return *this;
--- a/base/store_revision.h
+++ b/base/store_revision.h
@@ -1,14 +1,15 @@
-// StoreRevision names a state of the store: an era, and a number in it.
+// StoreRevision identifies a state of the store by an era and a number in it.
 //
-//   if (change.revision <= known) return;    // older, or known already
+//   if (change.revision <= known) return;    // older or known
 //
-// Numbers rise with each change, but only within an era. A store that fails may
-// come back from an older copy of itself: it begins a later era, the changes
-// since the copy are gone, and their numbers are given out again for others.
-// So numbers of two eras can't be compared, and any revision of a later era is
-// the later one. An item that the copy kept has its old number in the new era.
+// Numbers rise with each change, but only within an era. A store that failed
+// may be restored from an older copy of itself. It then starts a later era: the
+// changes since the copy are lost, and their numbers are assigned to new
+// changes. So numbers of different eras can't be compared, and any revision of
+// a later era is the later one. Items in the copy keep their numbers in the new
+// era.
 //
-// An era of 0 is that of a store, or a peer, that doesn't name eras.
+// Era 0 is used for a store, or a peer, that doesn't state eras.
 
 #ifndef QUAYTRACK_BASE_STORE_REVISION_H_
 #define QUAYTRACK_BASE_STORE_REVISION_H_
@@ -22,19 +23,19 @@
 
 struct StoreRevision {
   constexpr StoreRevision() = default;
-  // Implicit: of a store without eras, a revision is its number.
+  // Implicit, as the revision of a store without eras is just a number.
   constexpr StoreRevision(std::int64_t in_number) : number(in_number) {}
   constexpr StoreRevision(std::int64_t in_era, std::int64_t in_number)
       : era(in_era), number(in_number) {}
 
   auto operator<=>(const StoreRevision&) const = default;
 
-  // First, as it is compared first.
+  // Declared first, so that it is compared first.
   std::int64_t era = 0;
   std::int64_t number = 0;
 };
 
-// "era/number", for logs.
+// Formats as "era/number", for logs.
 inline std::string ToText(const StoreRevision& it) {
   return std::to_string(it.era) + "/" + std::to_string(it.number);
 }
--- a/base/testing/catalogue_test.cc
+++ b/base/testing/catalogue_test.cc
@@ -1,4 +1,5 @@
-// Holds the event catalogue and docs/EVENTS.md equal.
+// Checks that docs/EVENTS.md lists exactly the events of the catalogue, that
+// event numbers are unique, and that base64 round-trips.
 
 #include <boost/test/unit_test.hpp>
 #include <fstream>
--- a/base/testing/cbor_test.cc
+++ b/base/testing/cbor_test.cc
@@ -1,3 +1,6 @@
+// Tests that CBOR values round-trip, and that bytes that can't be decoded give
+// an empty result instead of an exception.
+
 #include "base/cbor.h"
 
 #include <rapidcheck.h>
@@ -16,7 +19,8 @@
   BOOST_TEST(!FromCbor(ToCbor({{"text", 7}}), Text).has_value());
 }
 
-// An array of more elements than there can be bytes.
+// Guards against an escaping exception: the bytes announce an array with more
+// elements than memory can hold, for which the parser throws.
 BOOST_AUTO_TEST_CASE(AnImpossibleLengthIsNoValue) {
   BOOST_TEST(!FromCbor("\x9B"
                        "aaaaaaaa",
--- a/base/testing/docs_test.cc
+++ b/base/testing/docs_test.cc
@@ -1,17 +1,17 @@
-// Holds the pages to the sources: each file, log event and test that a page
-// names must exist, and each row of the index of rules and of the table of
-// failures names what it has to.
+// Checks the documentation against the sources: each file, log event and test
+// that a page names must exist, and the rows of the index of rules and of the
+// table of failures must have all the names that they need.
 //
-// A name is known by its form between backquotes:
+// A name is recognised by its form between backquotes:
 //
-//   `relay/events.h`, `chart/charts/`     a file, a folder
+//   `base/events.h`, `chart/charts/`      a file, a folder
 //   `QT1408 relay_ended`                  a log event
 //   `kv_follower_test`                    a test program
 //   `resident_stop_test/AReloadCutsNothing`   one of its cases
 //
-// Renaming a file or a case therefore turns this test red until the pages
-// follow. Pages of history (FINDINGS, incidents) are left out, as they name
-// what was there at the time.
+// So renaming a file or a case makes this test fail until the pages are
+// updated. Pages about the past (FINDINGS, incidents) are left out, as they
+// name files and tests that may be gone.
 
 #include <algorithm>
 #include <array>
@@ -35,16 +35,16 @@
 
 using Strings = std::vector<std::string>;
 
-// Words with a slash that aren't files: keys of the stores, built programs, and
-// the load tools of earlier commits, which figures still name.
+// Prefixes of words with a slash that aren't files: keys of the stores, built
+// programs, and removed load tools that are still named beside figures.
 constexpr auto kNotFiles =
     std::to_array<std::string_view>({"quaytrack/", "qt/", "build/", "bench/"});
 
-// Rows that the pages have at least, in all tables of a kind. A table whose
-// heading has changed isn't read; its rows are then missed.
-constexpr std::size_t kLeastRules = 40;
-constexpr std::size_t kLeastFailures = 35;
-constexpr std::size_t kLeastPromises = 25;
+// The lowest number of rows that all tables of a kind have together. A table
+// whose heading has changed isn't read, and these bounds then show the loss.
+constexpr std::size_t kMinRules = 40;
+constexpr std::size_t kMinFailures = 35;
+constexpr std::size_t kMinPromises = 25;
 
 fs::path Root() { return QUAYTRACK_SOURCE_DIR; }
 
@@ -69,7 +69,7 @@
          page.parent_path().filename() == "incidents";
 }
 
-// What stands between backquotes.
+// All texts between backquotes.
 Strings Quoted(const std::string& text) {
   static const std::regex kQuoted("`([^`\n]+)`");
   Strings out;
@@ -108,7 +108,7 @@
   return Matching(text, kEvent);
 }
 
-// --- What exists -------------------------------------------------------------
+// --- Existence of files, tests and events ------------------------------------
 
 bool FileExists(const std::string& name) {
   const fs::path path = Root() / name;
@@ -116,14 +116,14 @@
                              : fs::is_regular_file(path);
 }
 
-// The source of a test program, by the rule of CMakeLists.txt.
+// The source of a test program, by the naming rule in CMakeLists.txt.
 fs::path SourceOf(const std::string& program) {
   const std::size_t at = program.find('_');
-  const std::string room = program.substr(0, at);
+  const std::string folder = program.substr(0, at);
   const std::string file = program.substr(at + 1) + ".cc";
-  if (room == "process") return Root() / "testing/process" / file;
-  if (room == "resident") return Root() / "platform/testing/process" / file;
-  return Root() / room / "testing" / file;
+  if (folder == "process") return Root() / "testing/process" / file;
+  if (folder == "resident") return Root() / "platform/testing/process" / file;
+  return Root() / folder / "testing" / file;
 }
 
 bool TestExists(const std::string& name) {
@@ -131,7 +131,7 @@
   const fs::path source = SourceOf(name.substr(0, slash));
   if (!fs::is_regular_file(source)) return false;
   if (slash == std::string::npos) return true;
-  // The formatter may break the line anywhere.
+  // Blanks are removed, as the formatter may break the line anywhere.
   std::string text = ReadFile(source);
   std::erase_if(text, [](char it) { return it == ' ' || it == '\n'; });
   const std::string open = "_TEST_CASE(" + name.substr(slash + 1);
@@ -148,7 +148,7 @@
       });
 }
 
-// "relay_ended" is kRelayEnded in the code.
+// The enumerator of an event, "Event::kRelayEnded" for "relay_ended".
 std::string ConstantOf(const std::string& event) {
   std::string out = "Event::k";
   bool upper = true;
@@ -171,13 +171,13 @@
          name.find("/testing/") == std::string::npos;
 }
 
-// The product's sources in one text.
+// The product's sources, concatenated.
 const std::string& AllSources() {
   static const std::string kText = [] {
     std::string out;
-    for (const auto& room : fs::directory_iterator(Root())) {
-      if (!room.is_directory()) continue;
-      for (const auto& it : fs::directory_iterator(room.path())) {
+    for (const auto& folder : fs::directory_iterator(Root())) {
+      if (!folder.is_directory()) continue;
+      for (const auto& it : fs::directory_iterator(folder.path())) {
         if (it.is_regular_file() && IsSource(it.path())) {
           out += ReadFile(it.path());
         }
@@ -192,7 +192,7 @@
   return std::isalnum(static_cast<unsigned char>(it)) != 0 || it == '_';
 }
 
-// Some source names the event's constant, as a whole word.
+// Whether some source has the event's enumerator, as a complete word.
 bool EventIsLogged(const std::string& name) {
   const std::string& text = AllSources();
   const std::string word = ConstantOf(name);
@@ -204,7 +204,7 @@
   return false;
 }
 
-// Everything that `text` names and that doesn't exist.
+// All files, tests and events that `text` names but that don't exist.
 Strings Missing(const std::string& text) {
   Strings out;
   const auto check = [&](const Strings& names,
@@ -231,7 +231,8 @@
   return out;
 }
 
-// The rows of all tables with this heading, without it and the line below.
+// The rows of all tables with this heading, without the heading and the line
+// below it.
 std::vector<Strings> RowsBelow(const std::string& heading,
                                const std::string& text) {
   std::vector<Strings> out;
@@ -249,21 +250,21 @@
   return out;
 }
 
-bool Says(const std::string& cell, std::string_view word) {
+bool CellIs(const std::string& cell, std::string_view word) {
   return cell == " " + std::string(word) + " ";
 }
 
-// What is wrong with the rows of the index of rules.
+// The faults in the rows of the index of rules.
 Strings RuleFaults(const std::string& text) {
   Strings out;
   for (const Strings& row : RowsBelow("| Rule | File | Event |", text)) {
-    const bool whole = row.size() == 3;
-    if (!whole || FilesIn(row[1]).empty()) {
+    const bool complete = row.size() == 3;
+    if (!complete || FilesIn(row[1]).empty()) {
       out.push_back("no file:" + row[0]);
       continue;
     }
     const Strings events = EventsIn(row[2]);
-    if (events.empty() && !Says(row[2], "none")) {
+    if (events.empty() && !CellIs(row[2], "none")) {
       out.push_back("no event:" + row[0]);
     }
     for (const std::string& it : events) {
@@ -273,18 +274,18 @@
   return out;
 }
 
-// What is wrong with the rows of the table of failures.
+// The faults in the rows of the table of failures.
 Strings FailureFaults(const std::string& text) {
   Strings out;
   for (const Strings& row :
        RowsBelow("| What fails | What happens | File | Test |", text)) {
-    const bool whole = row.size() == 4;
-    if (!whole || FilesIn(row[2]).empty()) {
+    const bool complete = row.size() == 4;
+    if (!complete || FilesIn(row[2]).empty()) {
       out.push_back("no file:" + row[0]);
       continue;
     }
     const bool tested = row[3].find('/') != std::string::npos;
-    if (TestsIn(row[3]).empty() ? !Says(row[3], "no test") : !tested) {
+    if (TestsIn(row[3]).empty() ? !CellIs(row[3], "no test") : !tested) {
       out.push_back("no test case:" + row[0]);
     }
   }
@@ -297,7 +298,7 @@
   return out;
 }
 
-// --- The pages ---------------------------------------------------------------
+// --- Tests of the pages ------------------------------------------------------
 
 BOOST_AUTO_TEST_CASE(WhatAPageNamesExists) {
   for (const fs::path& page : AllPages()) {
@@ -309,7 +310,7 @@
 
 BOOST_AUTO_TEST_CASE(EachRuleNamesItsFileAndAnEventThatIsLogged) {
   const std::string text = Page("docs/DECISIONS.md");
-  BOOST_TEST(RowsBelow("| Rule | File | Event |", text).size() >= kLeastRules);
+  BOOST_TEST(RowsBelow("| Rule | File | Event |", text).size() >= kMinRules);
   const Strings faults = RuleFaults(text);
   BOOST_TEST(faults.empty(), Joined(faults));
 }
@@ -318,7 +319,7 @@
   const std::string text = Page("docs/ARCHITECTURE.md");
   const auto rows =
       RowsBelow("| What fails | What happens | File | Test |", text);
-  BOOST_TEST(rows.size() >= kLeastFailures);
+  BOOST_TEST(rows.size() >= kMinFailures);
   const Strings faults = FailureFaults(text);
   BOOST_TEST(faults.empty(), Joined(faults));
 }
@@ -327,7 +328,7 @@
   const std::string text = Page("docs/PROOF.md");
   const auto rows =
       RowsBelow("| # | Promise | Shown by | Faults | Figure |", text);
-  BOOST_TEST(rows.size() >= kLeastPromises);
+  BOOST_TEST(rows.size() >= kMinPromises);
   for (const Strings& row : rows) {
     BOOST_REQUIRE(row.size() == 5U);
     BOOST_TEST(!TestsIn(row[2]).empty(), row[1] << row[2]);
@@ -349,7 +350,8 @@
   BOOST_TEST(links > 10);
 }
 
-// The checks themselves: a wrong row doesn't pass.
+// The next two cases test the checks themselves: each wrong name or row must
+// be reported.
 BOOST_AUTO_TEST_CASE(AWrongNameIsNoticed) {
   BOOST_TEST(Missing("`base/log.h` `base/testing/` `QT1408 relay_ended` "
                      "`QT1408` `base_docs_test/AWrongNameIsNoticed` "
--- a/base/testing/log_sink_test.cc
+++ b/base/testing/log_sink_test.cc
@@ -1,4 +1,5 @@
-// A reader that stops reading costs lines, which are counted, and no time.
+// Tests that LogSink never blocks on a reader that stops reading: lines are
+// dropped and counted, and the count appears in the log.
 
 #include "base/log_sink.h"
 
@@ -20,7 +21,7 @@
     close(ends[0]);
     close(ends[1]);
   }
-  // Everything that is in the pipe.
+  // Reads everything that is in the pipe.
   std::string Read() const {
     std::string out;
     char buf[4096];
@@ -44,7 +45,7 @@
   for (int n = 0; n < kLines; ++n) sink.Write(line);
   BOOST_TEST(sink.dropped() > 0U);
   std::string text;
-  // Each write lets some of what was kept go out.
+  // Each write flushes a part of the buffer.
   constexpr int kRounds = 100;
   for (int n = 0; n < kRounds; ++n) {
     text += pipe.Read();
@@ -53,13 +54,13 @@
   text += pipe.Read();
   const std::string report = Report(sink.dropped());
   BOOST_TEST(text.find(report) != std::string::npos);
-  // What is there is whole lines, in order, and all that wasn't dropped.
-  std::size_t whole = 0;
+  // The reader gets every line that wasn't dropped, uncut.
+  std::size_t complete = 0;
   for (std::size_t at = 0; (at = text.find(line, at)) != std::string::npos;) {
-    ++whole;
+    ++complete;
     at += line.size();
   }
-  BOOST_TEST(whole + sink.dropped() == static_cast<std::size_t>(kLines));
+  BOOST_TEST(complete + sink.dropped() == static_cast<std::size_t>(kLines));
 }
 
 BOOST_AUTO_TEST_CASE(AReaderThatKeepsUpGetsEverything) {
--- a/base/testing/residency_test.cc
+++ b/base/testing/residency_test.cc
@@ -1,4 +1,4 @@
-// Where requests may be processed, and what two residencies allow together.
+// Tests which regions a residency allows, and the intersection of two.
 
 #include "base/residency.h"
 
