--- a/chart/chart.cc
+++ b/chart/chart.cc
@@ -43,7 +43,8 @@
   return out;
 }
 
-// Reads one state's arrows into `arrows`, which has a slot for each event.
+// Reads one state's transitions into `arrows`, which has a slot for each
+// event.
 leaf::result<void> ReadState(int state, const Json& json, const Names& names,
                              std::vector<std::optional<Arrow>>& arrows) {
   const Json on = json.value("on", Json::object());
@@ -79,24 +80,25 @@
   return {};
 }
 
-// Marks everything that `from` reaches, following arrows forwards.
+// Marks `from` and every state that can be reached from it.
 void MarkReachable(const Table& table, std::size_t events, std::size_t from,
-                   std::vector<bool>& seen) {
-  if (seen[from]) return;
-  seen[from] = true;
+                   std::vector<bool>& reached) {
+  if (reached[from]) return;
+  reached[from] = true;
   for (std::size_t event = 0; event < events; ++event) {
     const Arrow& it = table.arrows[from * events + event];
-    MarkReachable(table, events, static_cast<std::size_t>(it.to), seen);
+    MarkReachable(table, events, static_cast<std::size_t>(it.to), reached);
   }
 }
 
 leaf::result<void> CheckReachability(const Table& table, const Names& names) {
   const std::size_t events = names.events.size();
-  std::vector<bool> seen(names.states.size());
-  MarkReachable(table, events, static_cast<std::size_t>(table.initial), seen);
-  for (std::size_t n = 0; n < seen.size(); ++n) {
+  std::vector<bool> reached(names.states.size());
+  MarkReachable(table, events, static_cast<std::size_t>(table.initial),
+                reached);
+  for (std::size_t n = 0; n < reached.size(); ++n) {
     const std::string name(names.states[n]);
-    if (!seen[n]) return Fail(ChartFault::kUnreachableState, name);
+    if (!reached[n]) return Fail(ChartFault::kUnreachableState, name);
     std::vector<bool> onward(names.states.size());
     MarkReachable(table, events, n, onward);
     bool ends = false;
--- a/chart/chart.h
+++ b/chart/chart.h
@@ -1,9 +1,9 @@
-// State charts kept in files and interpreted by the code.
+// State charts that are read from JSON files and interpreted.
 //
-// A chart says which states something can be in, which events can reach it, and
-// what each event does in each state. Keeping this in a file, and not in nested
-// ifs, lets a reader see the whole life of a request on one page, and lets a
-// check prove that no event was forgotten:
+// A chart lists the states of an object, the events that it may receive, and
+// what each event does in each state. With a chart in a file in place of nested
+// ifs, a reader sees all states of a request on one page, and a check proves
+// that every state handles every event:
 //
 //   {"name": "door", "initial": "open", "final": ["gone"],
 //    "states": {
@@ -13,13 +13,14 @@
 //      "gone":   {"ignore": ["push", "burn"]}}}
 //
 // A chart is bound to three enums (states, events, actions) through their name
-// tables; binding fails unless names and enums agree exactly.
+// tables (base/enum_table.h). Binding fails unless the states agree, each event
+// is handled in each state, and every action is known.
 //
 //   auto chart = BindChart<DoorState, DoorEvent, DoorAction>(text);
 //   ChartMachine machine(*chart);
 //   DoorAction act = machine.Apply(DoorEvent::kPush);
 //
-// The form follows Harel, "Statecharts" (1987), without nesting.
+// The model is that of Harel, "Statecharts" (1987), without nesting.
 
 #ifndef QUAYTRACK_CHART_CHART_H_
 #define QUAYTRACK_CHART_CHART_H_
@@ -35,7 +36,7 @@
 
 namespace quaytrack {
 
-// Why a chart was refused. `detail` names the state or event at fault.
+// Why a chart was refused.
 enum class ChartFault {
   kNotJson,
   kUnknownState,
@@ -62,18 +63,20 @@
 
 struct ChartError {
   ChartFault fault{};
+  // The state, event or action at fault, or the JSON parser's message.
   std::string detail;
 };
 
 namespace chart_internal {
 
-// One arrow, by index into the name tables. No action is -1.
+// One transition, by indexes into the name tables. -1 stands for no action.
 struct Arrow {
   int to = 0;
   int action = -1;
 };
 
-// A checked chart without types. arrows[state * events + event].
+// A checked chart without types. The transition of `event` in `state` is
+// arrows[state * events + event], where `events` is the number of events.
 struct Table {
   int initial = 0;
   std::vector<bool> final_states;
@@ -108,8 +111,8 @@
 
 }  // namespace chart_internal
 
-// A chart bound to its enums. The first entry of `Action`'s table is the
-// action of arrows that do nothing.
+// A chart bound to its enums. The first entry of `Action`'s table is the action
+// of transitions that have none in the file.
 template <NamedEnum State, NamedEnum Event, NamedEnum Action>
 class Chart {
  public:
@@ -152,7 +155,7 @@
   return Chart<State, Event, Action>(std::move(table));
 }
 
-// One thing moving through a chart, which must outlive it.
+// The current state of one object in a chart. The chart must outlive it.
 template <NamedEnum State, NamedEnum Event, NamedEnum Action>
 class ChartMachine {
  public:
@@ -162,7 +165,7 @@
   State state() const { return state_; }
   bool done() const { return chart_->IsFinal(state_); }
 
-  // Takes the arrow for `event`; returns what to do.
+  // Makes the transition for `event` and returns its action.
   Action Apply(Event event) {
     const Action out = chart_->ActionOf(state_, event);
     state_ = chart_->Next(state_, event);
--- a/chart/drain_chart.h
+++ b/chart/drain_chart.h
@@ -1,5 +1,6 @@
-// A planned stop of a router process, the same for both programs:
-// chart/charts/drain.json.
+// The state chart of a planned stop (drain) of a process, which the router and
+// the relay share. The chart is chart/charts/drain.json; this file has its
+// states, events and actions. Binding fails if file and enums differ.
 //
 //   BOOST_LEAF_AUTO(chart, BindDrainChart());
 //   ChartMachine<DrainState, DrainEvent, DrainAction> drain(chart);
--- a/chart/embedded.h
+++ b/chart/embedded.h
@@ -1,10 +1,11 @@
-// The texts of chart/charts/*.json, so that the shipped binary is one file.
+// The contents of chart/charts/*.json, compiled in so that the program needs no
+// other files.
 //
 //   auto chart = BindChart<State, Event, Action>(kRelayChart);   // chart.h
 //
-// tools/embed-charts writes embedded.cc from the files, and CI holds the two
-// equal. Nothing here fails; a chart that can't be bound is `BindChart`'s
-// error.
+// tools/embed-charts generates embedded.cc from the files, and CI checks that
+// it is up to date. Nothing here fails; `BindChart` reports a chart that can't
+// be bound.
 
 #ifndef QUAYTRACK_CHART_EMBEDDED_H_
 #define QUAYTRACK_CHART_EMBEDDED_H_
--- a/chart/testing/chart_test.cc
+++ b/chart/testing/chart_test.cc
@@ -1,3 +1,6 @@
+// Tests that a chart's transitions are followed, and that a chart that doesn't
+// fit its enums, or can't reach a final state, is refused.
+
 #include "chart/chart.h"
 
 #include <boost/test/unit_test.hpp>
@@ -35,7 +38,7 @@
   "shut": {"on": {"burn": {"to": "gone"}}, "ignore": ["push"]},
   "gone": {"ignore": ["push", "burn"]}}})";
 
-// The fault with which a text is refused; empty if it is accepted.
+// The error with which `text` is refused; empty if it is accepted.
 std::optional<ChartError> FaultOf(std::string text) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::optional<ChartError>> {
