--- a/net/address.h
+++ b/net/address.h
@@ -1,14 +1,14 @@
-// A numeric IPv4 address and port, "10.1.0.7:8000".
+// A numeric IPv4 address and port, such as "10.1.0.7:8000".
 //
 //   if (const auto it = ParseAddress(text)) {
 //     const sockaddr_in to = ToSocketAddress(*it);
 //     ...
 //   }
 //
-// Addresses come from settings, from the store and from peers. No name is ever
-// looked up: a look-up would block the loop.
+// Addresses come from settings, from the store and from peers. Host names
+// aren't resolved, as a DNS look-up would block the event loop.
 //
-// Only the port is checked when an address is parsed. A host that is no IPv4
+// Only the port is checked when an address is parsed. A host that isn't an IPv4
 // address becomes 0.0.0.0 in `ToSocketAddress`.
 
 #ifndef QUAYTRACK_NET_ADDRESS_H_
@@ -27,7 +27,7 @@
 namespace quaytrack {
 
 struct Address {
-  // As given; not checked.
+  // As given, unchecked.
   std::string host;
   std::uint16_t port = 0;
 };
@@ -45,7 +45,7 @@
   return out;
 }
 
-// In the form that the kernel takes.
+// Converts to the kernel's form.
 inline sockaddr_in ToSocketAddress(const Address& it) {
   sockaddr_in out{};
   out.sin_family = AF_INET;
--- a/net/http_message.h
+++ b/net/http_message.h
@@ -1,14 +1,14 @@
-// The head of an HTTP/1.1 message, as both ends of a connection see it.
+// The head of an HTTP/1.1 message: its start line and headers.
 //
 //   HttpHead head;
 //   head.status = 503;
 //   head.headers.push_back({"Retry-After", "0.20"});
 //   const std::string* host = request.Find("host");   // null if it has none
 //
-// A head is plain data: `http/http_parser.h` and the servers and clients fill
-// it, request paths read it. It keeps its headers in the order in which they
-// came and with their own spelling, as they are passed on; names are compared
-// without regard to case. Nothing here checks a value or fails.
+// HttpHead is plain data, filled by `http/http_parser.h`, the servers and the
+// clients, and read by the code that handles requests. Headers keep their order
+// and spelling, as they are forwarded; names are compared case-insensitively.
+// Nothing here checks a value or fails.
 
 #ifndef QUAYTRACK_NET_HTTP_MESSAGE_H_
 #define QUAYTRACK_NET_HTTP_MESSAGE_H_
@@ -26,42 +26,41 @@
   std::string value;
 };
 
-// Compares header names, which don't depend on case.
+// Compares header names case-insensitively.
 bool SameHeaderName(std::string_view a, std::string_view b);
 
 // The start line and the headers of a request or of a response.
 struct HttpHead {
-  // Of a request. `target` is the request target (RFC 9112, 3.2): the path and
+  // For a request. `target` is the request target (RFC 9112, 3.2): the path and
   // the query.
   std::string method;
   std::string target;
-  // Of a response. Without a reason, `ReasonOf(status)` is sent.
+  // For a response. If `reason` is empty, `ReasonOf(status)` is sent.
   int status = 0;
   std::string reason;
 
   std::vector<HttpHeader> headers;
   // Whether the connection may be used again after this message.
   bool keep_alive = true;
-  // How the body is framed: in chunks, or by a length in bytes. Neither means
-  // that a request has no body, and that a response ends with its connection.
+  // How the body is framed: in chunks, or by a length in bytes. If neither is
+  // set, a request has no body, and a response ends when its connection closes.
   bool chunked = false;
   std::optional<std::uint64_t> content_length;
 
-  // The first header of that name; null if there is none.
+  // The value of the first header with this name; null if there is none.
   const std::string* Find(std::string_view name) const;
-  // How many headers have that name.
+  // The number of headers with this name.
   int Count(std::string_view name) const;
 
   // The target without its query.
   std::string_view Path() const;
 };
 
-// Whether a header concerns one connection only (RFC 9110, 7.6.1) and must not
-// be passed on. `head` may name more such headers in `Connection`.
+// Whether a header applies to one connection only (RFC 9110, 7.6.1) and must
+// not be forwarded. `head` may list more such headers in `Connection`.
 bool IsHopHeader(const HttpHead& head, std::string_view name);
 
-// The reason phrase of a status that a process of ours gives; "Status" for any
-// other.
+// The reason phrase of a status that quaytrack sends; "Status" for any other.
 std::string_view ReasonOf(int status);
 
 }  // namespace quaytrack
--- a/net/loop.cc
+++ b/net/loop.cc
@@ -12,7 +12,7 @@
 
 event_base* NewBase() {
   // Batches changes of the epoll set between two waits: a stream enables and
-  // disables writing for each token, and most of those cancel out.
+  // disables writing for each token, and most of these changes cancel out.
   event_config* config = event_config_new();
   event_config_set_flag(config, EVENT_BASE_FLAG_EPOLL_USE_CHANGELIST);
   event_base* out = event_base_new_with_config(config);
@@ -44,20 +44,20 @@
 Timer::~Timer() { event_free(event_); }
 
 void Timer::OnFire(int, short, void* self) {
-  // A copy, as the action may destroy this timer.
+  // Calls a copy, as the action may destroy this timer.
   auto action = static_cast<Timer*>(self)->action_;
   action();
 }
 
 Loop::Loop()
     : base_(NewBase()), posted_event_(event_new(base_, -1, 0, OnPosted, this)) {
-  // A peer that closes while we write must not end the process.
+  // Writing to a connection that the peer has closed must not end the process.
   std::signal(SIGPIPE, SIG_IGN);
 }
 
 Loop::~Loop() {
   signals_.clear();
-  // What was posted may own things that still need the base.
+  // Posted actions may own objects that need the base in their destructors.
   posted_.clear();
   event_free(posted_event_);
   event_base_free(base_);
--- a/net/loop.h
+++ b/net/loop.h
@@ -1,7 +1,7 @@
 // The event loop: one libevent base on one thread.
 //
-// Everything that a process does happens in callbacks of this loop, so no code
-// needs locks, and no callback may block: while one runs, nothing else does.
+// All work of a process runs in callbacks of this loop. So no code needs locks,
+// and no callback may block, as nothing else runs meanwhile.
 //
 //   Loop loop;
 //   const auto tick = loop.Every(200ms, [] { ... });
@@ -9,15 +9,15 @@
 //   loop.OnSignal(SIGTERM, [&] { loop.Stop(); });
 //   loop.Run();
 //
-// A timer lives as long as the pointer that the loop returned; to stop it is to
-// drop the pointer. `Post` runs something after the current callback, which is
-// how an object that libevent or a caller further up still uses gets freed:
+// A timer runs until the pointer that the loop returned is destroyed. `Post`
+// runs an action after the current callback; it can delay the release of an
+// object that libevent or a function further up the stack still uses:
 //
 //   loop.Post([keep = shared_from_this()] {});
 //
 // The loop owns the libevent base, and must outlive all timers and sockets on
-// it. It also makes the process ignore SIGPIPE, since a peer that closes while
-// we write must not end the process.
+// it. It also makes the process ignore SIGPIPE, so that writing to a connection
+// that the peer has closed doesn't end the process.
 //
 // Delays are rounded down to microseconds.
 
@@ -61,15 +61,15 @@
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
-  // For code that speaks to libevent itself.
+  // For code that calls libevent directly.
   event_base* base() const { return base_; }
-  // What the sockets of this loop have carried (net/traffic.h).
+  // Bytes that the sockets of this loop have carried (net/traffic.h).
   Traffic& traffic() { return traffic_; }
 
   // Runs `action` once, after `delay`.
   [[nodiscard]] std::unique_ptr<Timer> After(Duration delay,
                                              std::function<void()> action);
-  // Runs `action` every `period`, for the first time after one.
+  // Runs `action` every `period`, first after one period.
   [[nodiscard]] std::unique_ptr<Timer> Every(Duration period,
                                              std::function<void()> action);
   // Runs `action` on the loop, not in the signal handler, for each `signal`.
@@ -78,7 +78,7 @@
   // calls.
   void Post(std::function<void()> action);
 
-  // Returns after `Stop`, or when nothing is left to wait for.
+  // Returns after `Stop`, or when no events are left to wait for.
   void Run();
   // Ends `Run` after the current callback.
   void Stop();
--- a/net/peer_link.cc
+++ b/net/peer_link.cc
@@ -25,11 +25,11 @@
 using ServerEndpoint = ws::server<ws::config::core>;
 using ClientEndpoint = ws::client<ws::config::core_client>;
 
-// Bytes that a peer may send as one message. It bounds memory; the largest
-// messages are configurations. Not measured.
-constexpr std::size_t kLargestMessage = 4 * 1024 * 1024;
+// Bytes that a peer may send as one message, to bound memory. The largest
+// messages are configurations.
+constexpr std::size_t kMaxMessageBytes = 4 * 1024 * 1024;
 
-// One link over one bufferevent, for either end.
+// One link over one bufferevent, for either end of the connection.
 template <class Endpoint>
 class WebsocketLink final
     : public PeerLink,
@@ -40,7 +40,7 @@
   WebsocketLink(Loop& loop, bufferevent* bev) : loop_(loop), bev_(bev) {
     endpoint_.clear_access_channels(ws::log::alevel::all);
     endpoint_.clear_error_channels(ws::log::elevel::all);
-    endpoint_.set_max_message_size(kLargestMessage);
+    endpoint_.set_max_message_size(kMaxMessageBytes);
   }
 
   ~WebsocketLink() override {
--- a/net/peer_link.h
+++ b/net/peer_link.h
@@ -1,8 +1,9 @@
-// Links between processes of one fleet: websocket messages, by websocketpp.
+// Links between processes of one fleet, over which they exchange WebSocket
+// messages, with websocketpp.
 //
-// A link carries whole binary messages in order, and says when it opens and
-// closes. Who may link to whom, what is said, and when a silent link counts as
-// lost is decided by its users (relay/peer_mesh.h, router/peer_driver.h).
+// A link delivers complete binary messages in order, and reports when it opens
+// and closes. Which processes link, what they send, and when a silent link
+// counts as lost is decided in relay/peer_mesh.h and router/peer_driver.h.
 //
 //   PeerServer server(loop, [&](std::shared_ptr<PeerLink> link) {
 //     link->SetHandlers({open, message, closed});   // keep the pointer
@@ -12,20 +13,19 @@
 //   const auto link = PeerLink::Connect(loop, "10.0.0.8:8082", handlers);
 //   link->Send(bytes);               // once `open` was called
 //
-// websocketpp runs on its transport without sockets; the bytes move through a
-// libevent bufferevent on the loop. What a link carries isn't counted in
-// net/traffic.h.
+// websocketpp uses its transport without sockets; a libevent bufferevent on the
+// loop moves the bytes. net/traffic.h doesn't count them.
 //
-// A message is handed to the kernel before `Send` returns, if the link isn't
-// backed up, so that it outlives a process that is killed right after. That
-// says nothing about its arrival: a link that breaks loses what is under way,
-// and its users repeat what must not be lost. What the kernel doesn't take is
-// kept without a bound until the link closes.
+// If a link has no backlog, `Send` passes the message to the kernel before it
+// returns, so that the message is sent even if the process is killed right
+// after. It may still not arrive: a link that breaks loses messages in transit,
+// and the callers resend those that must not be lost. Bytes that the kernel
+// doesn't accept are buffered without a bound until the link closes.
 //
-// Messages have at most 4 MiB; a peer that sends more is cut off.
+// Messages have at most 4 MiB; the link to a peer that sends more is closed.
 //
-// Peers aren't authenticated: the addresses have to be on a network that only
-// the fleet can reach.
+// Peers aren't authenticated: the addresses must be on a network that only the
+// fleet can reach.
 
 #ifndef QUAYTRACK_NET_PEER_LINK_H_
 #define QUAYTRACK_NET_PEER_LINK_H_
@@ -47,8 +47,8 @@
     // Messages may be sent from now on.
     std::function<void()> open;
     std::function<void(const std::string& message)> message;
-    // Called once, whichever side or error ended it; the link is of no use
-    // afterwards. Not called for a link that is dropped.
+    // Called once, whichever side or error ended the link, which can't be used
+    // afterwards. Not called for a link that is destroyed.
     std::function<void()> closed;
   };
 
@@ -57,14 +57,14 @@
   // Does nothing on a link that has closed.
   virtual void Send(const std::string& message) = 0;
 
-  // Opens a link to "host:port". Null if that is no address; a peer that can't
-  // be reached shows as `closed`.
+  // Opens a link to "host:port". Null if `address` isn't valid; for a peer that
+  // can't be reached, `closed` is called.
   static std::shared_ptr<PeerLink> Connect(Loop& loop,
                                            const std::string& address,
                                            Handlers handlers);
 };
 
-// Accepts links from other routers.
+// Accepts links from other processes.
 class PeerServer {
  public:
   using Accepted = std::function<void(std::shared_ptr<PeerLink>)>;
--- a/net/process_settings.h
+++ b/net/process_settings.h
@@ -1,12 +1,12 @@
-// Settings that both programs have: which process it is, where it listens and
-// what it logs.
+// Settings that the router and the relay share: the identity of the process,
+// its addresses, and logging.
 //
-// A program's flags and its checked settings are two structs that share what
-// both have in the same form. Each setting is a flag and an environment
-// variable with the flag's name (--drain-s and QUAYTRACK_DRAIN_S); the flag
-// goes first. A program lists its own settings with AddSetting between the
-// shared ones and checks all of them together, so that every fault is reported
-// at once:
+// A program has one struct for its flags and one for its checked settings; both
+// include the structs below for the settings that need no conversion. Each
+// setting is a flag and an environment variable named after it (--drain-s and
+// QUAYTRACK_DRAIN_S); the flag takes precedence. A program adds its other
+// settings with AddSetting and checks all of them together, so that every fault
+// is reported at once:
 //
 //   AddIdentityFlags(app, flags, "Name of this VM", "Address for health");
 //   AddSetting(app, "--drain-s", flags.drain_s, "Seconds to finish in");
@@ -32,7 +32,8 @@
 
 namespace quaytrack {
 
-// Who a process is, and its addresses, "IP:PORT"; port 0 picks a free one.
+// The VM and hall of a process, and its addresses as "IP:PORT". Port 0 binds a
+// free port.
 struct ProcessIdentity {
   std::string vm;
   std::string hall;
@@ -41,7 +42,7 @@
   std::string peer_listen = "127.0.0.1:8082";
 };
 
-// As given, before they are checked.
+// Log settings as given, before they are checked.
 struct LogFlags {
   std::string log_format = "text";
   std::string log_level = "info";
@@ -57,7 +58,7 @@
 // The environment variable of a flag: "--drain-s" is QUAYTRACK_DRAIN_S.
 std::string EnvironmentName(const std::string& flag);
 
-// Adds a setting whose default shows in the help.
+// Adds a setting whose default is shown in the help.
 template <class Value>
 void AddSetting(CLI::App& app, const std::string& flag, Value& value,
                 const std::string& help) {
@@ -66,7 +67,8 @@
       ->capture_default_str();
 }
 
-// The same for a list: the flag is repeated, or its values have commas between.
+// The same for a list: the flag is repeated, or its values are separated by
+// commas.
 inline void AddSetting(CLI::App& app, const std::string& flag,
                        std::vector<std::string>& values,
                        const std::string& help) {
--- a/net/setting_check.h
+++ b/net/setting_check.h
@@ -1,5 +1,5 @@
-// SettingChecker collects the faults of one check of settings, so that an
-// operator sees all of them at once and not one a start.
+// SettingChecker collects the faults in a program's settings, so that an
+// operator sees all of them at once instead of one at each start.
 //
 //   SettingChecker check;
 //   check.Name("--vm", flags.vm);
@@ -7,10 +7,10 @@
 //   const auto level = check.Choice<LogLevel>("--log-level", flags.log_level);
 //   for (const SettingFault& it : check.Take()) ...
 //
-// Each check names the flag, the value that was given and what is allowed. The
-// settings of both programs are checked by it before anything starts
-// (relay/relay_settings.cc, router/settings.cc). It changes nothing and prints
-// nothing.
+// Each fault has the flag, its value and what is allowed. The relay and the
+// router check their settings with it before they start anything
+// (relay/relay_settings.cc, router/settings.cc). It changes no settings and
+// prints nothing.
 
 #ifndef QUAYTRACK_NET_SETTING_CHECK_H_
 #define QUAYTRACK_NET_SETTING_CHECK_H_
@@ -24,7 +24,7 @@
 
 namespace quaytrack {
 
-// One setting that can't be used.
+// One invalid setting.
 struct SettingFault {
   std::string flag;
   std::string value;
@@ -37,9 +37,9 @@
 
 class SettingChecker {
  public:
-  // A name of a VM or a hall. It becomes part of incarnations and keys, hence
-  // the characters that are refused. The length is a bound against mistakes
-  // (not measured).
+  // Checks the name of a VM or a hall. It becomes a part of incarnations and
+  // keys, so their separators are refused. The length is limited to catch
+  // mistakes.
   void Name(const std::string& flag, const std::string& value) {
     const bool ok = !value.empty() && value.size() <= 64 &&
                     value.find_first_of("@/ \t=") == std::string::npos;
@@ -48,12 +48,12 @@
     }
   }
 
-  // "host:port", see net/address.h; the host isn't checked.
+  // Checks "host:port" (net/address.h); the host isn't checked.
   void Listen(const std::string& flag, const std::string& value) {
     if (!ParseAddress(value)) Add(flag, value, "IP:PORT");
   }
 
-  // Both ends are allowed.
+  // `low` and `high` are allowed, too.
   template <class Number>
   void Range(const std::string& flag, Number value, Number low, Number high) {
     if (value >= low && value <= high) return;
@@ -61,7 +61,8 @@
         std::to_string(low) + " to " + std::to_string(high));
   }
 
-  // The value that `text` names; the first one, and a fault, if it names none.
+  // The value named `text`; if there is none, adds a fault and returns the
+  // first value.
   template <NamedEnum E>
   E Choice(const std::string& flag, const std::string& text) {
     if (const auto it = FromName<E>(text)) return *it;
@@ -74,13 +75,13 @@
     return EnumTable<E>::kEntries[0].value;
   }
 
-  // A fault that a caller has found by itself.
+  // Adds a fault that the caller has found.
   void Add(const std::string& flag, const std::string& value,
            const std::string& allowed) {
     faults_.push_back({flag, value, allowed});
   }
 
-  // All faults, in the order of the checks; leaves none.
+  // Removes and returns all faults, in the order of the checks.
   std::vector<SettingFault> Take() { return std::move(faults_); }
 
  private:
--- a/net/tcp_socket.cc
+++ b/net/tcp_socket.cc
@@ -17,7 +17,7 @@
 namespace quaytrack {
 namespace {
 
-// Bytes taken by one read. Not measured.
+// Largest number of bytes of one read.
 constexpr std::size_t kReadBytes = 64 * 1024;
 
 void SetOption(int fd, int level, int name, int value) {
@@ -132,22 +132,22 @@
     if (on_.connected) on_.connected();
     if (!open()) return;
   }
-  const std::string_view rest = std::string_view(kept_).substr(kept_sent_);
+  const std::string_view rest = std::string_view(buffer_).substr(buffer_sent_);
   if (rest.empty()) return;
-  const std::size_t taken = SendNow(rest);
-  if (taken == 0 && !IsTransient(errno)) return Fail(SocketEnd::kReset);
-  kept_sent_ += taken;
-  if (kept_sent_ < kept_.size()) {
+  const std::size_t sent = SendNow(rest);
+  if (sent == 0 && !IsTransient(errno)) return Fail(SocketEnd::kReset);
+  buffer_sent_ += sent;
+  if (buffer_sent_ < buffer_.size()) {
     event_add(write_event_, nullptr);
     return;
   }
-  kept_.clear();
-  kept_sent_ = 0;
+  buffer_.clear();
+  buffer_sent_ = 0;
   if (on_.drained) on_.drained();
 }
 
-// 0 when the kernel takes nothing; `errno` then tells why. `Write` leaves an
-// error to `OnWritable`, so that its caller isn't called back from within it.
+// Returns 0 if the kernel accepts no byte; `errno` then has the reason. `Write`
+// leaves errors to `OnWritable`, so that it never calls back its caller.
 std::size_t TcpSocket::SendNow(std::string_view bytes) {
   const ssize_t n = send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   if (n < 0) return 0;
@@ -161,7 +161,7 @@
   if (!open() || bytes.empty()) return;
   if (connected_ && Unsent() == 0) bytes.remove_prefix(SendNow(bytes));
   if (bytes.empty()) return;
-  kept_.append(bytes);
+  buffer_.append(bytes);
   if (connected_) event_add(write_event_, nullptr);
 }
 
--- a/net/tcp_socket.h
+++ b/net/tcp_socket.h
@@ -1,30 +1,30 @@
 // A non-blocking TCP connection on the loop, and a listener for them.
 //
 //   auto socket = TcpSocket::Connect(loop, "10.0.0.8:9000", {}, handlers);
-//   if (!socket) ...                       // no address, or no descriptor left
+//   if (!socket) ...                       // bad address or no descriptor left
 //   socket->Write("...");
 //
 //   TcpListener listener(loop, [&](int fd) {
-//     auto caller = TcpSocket::Adopt(loop, fd, {});
-//     caller->SetHandlers(handlers);
+//     auto accepted = TcpSocket::Adopt(loop, fd, {});
+//     accepted->SetHandlers(handlers);
 //   });
 //   listener.Listen("10.0.0.7:8080");
 //
-// The relay's connections to callers, targets and the store are built on it
+// The relay's connections to callers, targets and the store use it
 // (http/caller_connection.h, http/target_connection.h).
 //
-// What is written goes to the kernel at once if nothing waits before it, so a
+// `Write` passes bytes to the kernel at once if none wait before them, so a
 // streamed token costs one read and one write (docs/design/token-path.md).
-// Only what the kernel doesn't take is kept, without a bound, and sent when it
-// does. Whoever passes a stream on watches `Unsent` and pauses its source.
+// Bytes that the kernel doesn't accept are buffered, without a bound, and sent
+// later. Code that forwards a stream watches `Unsent` and pauses its source.
 //
-// `bytes_taken` is how much the kernel has ever taken: a request of which it
-// took nothing has certainly not reached anybody. That is how the relay knows
-// that an attempt has not run.
+// `bytes_taken` counts the bytes that the kernel has accepted. If the kernel
+// has accepted no byte of a request, the request can't have reached its target;
+// this is how the relay knows that an attempt has not run.
 //
-// A socket owns its descriptor, and lives as long as a pointer to it; it counts
+// A socket owns its descriptor, lives as long as a pointer to it, and counts
 // its bytes in the loop's traffic. All sizes are in bytes. Errors of the
-// connection come as `ended`, never as a result of `Write`.
+// connection are reported through `ended`, never by `Write`.
 
 #ifndef QUAYTRACK_NET_TCP_SOCKET_H_
 #define QUAYTRACK_NET_TCP_SOCKET_H_
@@ -50,23 +50,23 @@
 };
 
 struct TcpOptions {
-  // Sent bytes that stay without an acknowledgement for this long end the
-  // connection; also how long a connection may take to open. Not measured; the
-  // connections to callers and to targets set their own.
+  // The connection ends when sent bytes stay unacknowledged, or opening takes,
+  // for this long. Connections to callers and to targets set other values.
   Duration user_timeout = std::chrono::milliseconds(2000);
 };
 
 class TcpSocket : public std::enable_shared_from_this<TcpSocket> {
  public:
-  // Handlers may close or drop the socket. `bytes` are valid only during the
+  // Handlers may close or release the socket. `bytes` are valid only during the
   // call.
   struct Handlers {
-    // Of `Connect` only.
+    // Called only after `Connect`.
     std::function<void()> connected;
     std::function<void(std::string_view bytes)> data;
-    // At most once, and never after `Close`. The socket is closed by then.
+    // Called at most once, and never after `Close`. The socket is then already
+    // closed.
     std::function<void(SocketEnd end)> ended;
-    // Everything that had to be kept has been taken by the kernel.
+    // The kernel has accepted all buffered bytes.
     std::function<void()> drained;
   };
 
@@ -74,25 +74,25 @@
   TcpSocket(const TcpSocket&) = delete;
   TcpSocket& operator=(const TcpSocket&) = delete;
 
-  // Null if `address` isn't one, no descriptor is left, or the kernel refuses
-  // at once. What is written before the connection is open waits for it.
+  // Null if `address` isn't valid, no descriptor is left, or the kernel refuses
+  // at once. Bytes written before the connection is open are buffered.
   static std::shared_ptr<TcpSocket> Connect(Loop& loop,
                                             const std::string& address,
                                             const TcpOptions& options,
                                             Handlers handlers);
-  // Takes over a connection that was accepted.
+  // Takes ownership of an accepted connection.
   static std::shared_ptr<TcpSocket> Adopt(Loop& loop, int fd,
                                           const TcpOptions& options);
 
   void SetHandlers(Handlers handlers) { on_ = std::move(handlers); }
   void Write(std::string_view bytes);
-  // Stops and restarts reading, so that a slow consumer holds the peer back.
+  // Stops and restarts reading, so that a slow consumer slows down the peer.
   void PauseReading();
   void ResumeReading();
-  // Ends the connection without a report. With `reset`, the peer sees an error
-  // in place of an end.
+  // Closes the connection without calling `ended`. With `reset`, the peer gets
+  // an error instead of an end of the stream.
   void Close(bool reset = false);
-  // Tells the peer that nothing more will be sent.
+  // Signals to the peer that no more bytes will be sent.
   void ShutdownWrite();
   // False once the connection has ended or was closed.
   bool open() const { return fd_ >= 0; }
@@ -100,12 +100,12 @@
   bool connected() const { return connected_; }
 
   // Whether the peer has closed its sending side or the connection is broken,
-  // also where that comes after bytes that aren't read yet. A system call.
+  // even if bytes from before that are still unread. Makes a system call.
   bool PeerHasClosed() const;
 
-  // Bytes written that the kernel has not taken.
-  std::size_t Unsent() const { return kept_.size() - kept_sent_; }
-  // Bytes that the kernel has taken since the connection was made.
+  // Bytes written that the kernel has not accepted.
+  std::size_t Unsent() const { return buffer_.size() - buffer_sent_; }
+  // Bytes that the kernel has accepted since the connection was made.
   std::uint64_t bytes_taken() const { return bytes_taken_; }
 
  private:
@@ -122,16 +122,17 @@
   Handlers on_;
   event* read_event_ = nullptr;
   event* write_event_ = nullptr;
-  std::string kept_;
-  std::size_t kept_sent_ = 0;
+  // Bytes for the kernel, of which it has accepted the first `buffer_sent_`.
+  std::string buffer_;
+  std::size_t buffer_sent_ = 0;
   std::uint64_t bytes_taken_ = 0;
 };
 
-// Accepts connections at "host:port". Destroying it stops listening; the
-// connections that it handed out go on.
+// Accepts connections at "host:port". Destroying it stops listening; accepted
+// connections stay open.
 class TcpListener {
  public:
-  // `fd` is the callee's to close.
+  // The callee owns `fd`.
   using Accepted = std::function<void(int fd)>;
 
   TcpListener(Loop& loop, Accepted accepted)
--- a/net/timeval.h
+++ b/net/timeval.h
@@ -1,9 +1,9 @@
-// Durations in the form that libevent takes.
+// Converts durations to libevent's form.
 //
 //   const timeval tv = ToTimeval(250ms);
 //   event_add(event, &tv);
 //
-// Rounded towards zero, to microseconds.
+// Values are rounded towards zero, to microseconds.
 
 #ifndef QUAYTRACK_NET_TIMEVAL_H_
 #define QUAYTRACK_NET_TIMEVAL_H_
