--- a/chart/chart.cc
+++ b/chart/chart.cc
@@ -31,8 +31,8 @@
   return Fail(ChartFault::kUnknownEvent, name);
 }
 
-leaf::result<Arrow> ReadArrow(const Json& json, const Names& names) {
-  Arrow out;
+leaf::result<Transition> ReadTransition(const Json& json, const Names& names) {
+  Transition out;
   BOOST_LEAF_ASSIGN(out.to,
                     StateIndex(names, json.at("to").get<std::string>()));
   if (!json.contains("do")) return out;
@@ -43,19 +43,20 @@
   return out;
 }
 
-// Reads one state's transitions into `arrows`, which has a slot for each
+// Reads one state's transitions into `transitions`, which has a slot for each
 // event.
-leaf::result<void> ReadState(int state, const Json& json, const Names& names,
-                             std::vector<std::optional<Arrow>>& arrows) {
+leaf::result<void> ReadState(
+    int state, const Json& json, const Names& names,
+    std::vector<std::optional<Transition>>& transitions) {
   const Json on = json.value("on", Json::object());
-  for (const auto& [event, arrow] : on.items()) {
+  for (const auto& [event, transition] : on.items()) {
     BOOST_LEAF_AUTO(n, EventIndex(names, event));
-    BOOST_LEAF_AUTO(read, ReadArrow(arrow, names));
-    arrows[static_cast<std::size_t>(n)] = read;
+    BOOST_LEAF_AUTO(read, ReadTransition(transition, names));
+    transitions[static_cast<std::size_t>(n)] = read;
   }
   for (const Json& event : json.value("ignore", Json::array())) {
     BOOST_LEAF_AUTO(n, EventIndex(names, event.get<std::string>()));
-    arrows[static_cast<std::size_t>(n)] = Arrow{state, -1};
+    transitions[static_cast<std::size_t>(n)] = Transition{state, -1};
   }
   return {};
 }
@@ -66,15 +67,15 @@
   for (std::size_t state = 0; state < names.states.size(); ++state) {
     const std::string name(names.states[state]);
     if (!json.contains(name)) return Fail(ChartFault::kMissingState, name);
-    std::vector<std::optional<Arrow>> arrows(events);
+    std::vector<std::optional<Transition>> transitions(events);
     BOOST_LEAF_CHECK(
-        ReadState(static_cast<int>(state), json.at(name), names, arrows));
+        ReadState(static_cast<int>(state), json.at(name), names, transitions));
     for (std::size_t event = 0; event < events; ++event) {
-      if (!arrows[event]) {
+      if (!transitions[event]) {
         return Fail(ChartFault::kMissingEvent,
                     name + "/" + std::string(names.events[event]));
       }
-      table.arrows.push_back(*arrows[event]);
+      table.transitions.push_back(*transitions[event]);
     }
   }
   return {};
@@ -86,7 +87,7 @@
   if (reached[from]) return;
   reached[from] = true;
   for (std::size_t event = 0; event < events; ++event) {
-    const Arrow& it = table.arrows[from * events + event];
+    const Transition& it = table.transitions[from * events + event];
     MarkReachable(table, events, static_cast<std::size_t>(it.to), reached);
   }
 }
@@ -105,7 +106,7 @@
     for (std::size_t it = 0; it < onward.size(); ++it) {
       ends = ends || (onward[it] && table.final_states[it]);
     }
-    if (!ends) return Fail(ChartFault::kNoWayOut, name);
+    if (!ends) return Fail(ChartFault::kNoFinalStateReachable, name);
   }
   return {};
 }
--- a/chart/chart.h
+++ b/chart/chart.h
@@ -45,7 +45,7 @@
   kMissingState,
   kMissingEvent,
   kUnreachableState,
-  kNoWayOut,
+  kNoFinalStateReachable,
 };
 
 template <>
@@ -58,7 +58,8 @@
        {ChartFault::kMissingState, "lacks a state that the code has"},
        {ChartFault::kMissingEvent, "lacks an event in a state"},
        {ChartFault::kUnreachableState, "has a state that nothing reaches"},
-       {ChartFault::kNoWayOut, "has a state that reaches no final state"}});
+       {ChartFault::kNoFinalStateReachable,
+        "has a state that reaches no final state"}});
 };
 
 struct ChartError {
@@ -70,17 +71,17 @@
 namespace chart_internal {
 
 // One transition, by indexes into the name tables. -1 stands for no action.
-struct Arrow {
+struct Transition {
   int to = 0;
   int action = -1;
 };
 
 // A checked chart without types. The transition of `event` in `state` is
-// arrows[state * events + event], where `events` is the number of events.
+// transitions[state * events + event], where `events` is the number of events.
 struct Table {
   int initial = 0;
   std::vector<bool> final_states;
-  std::vector<Arrow> arrows;
+  std::vector<Transition> transitions;
 };
 
 struct Names {
@@ -123,10 +124,10 @@
     return table_.final_states[chart_internal::IndexOf(state)];
   }
   State Next(State state, Event event) const {
-    return StateAt(ArrowOf(state, event).to);
+    return StateAt(TransitionOf(state, event).to);
   }
   Action ActionOf(State state, Event event) const {
-    const int n = ArrowOf(state, event).action;
+    const int n = TransitionOf(state, event).action;
     const auto& entries = EnumTable<Action>::kEntries;
     return entries[static_cast<std::size_t>(n < 0 ? 0 : n)].value;
   }
@@ -135,10 +136,11 @@
   static State StateAt(int n) {
     return EnumTable<State>::kEntries[static_cast<std::size_t>(n)].value;
   }
-  const chart_internal::Arrow& ArrowOf(State state, Event event) const {
+  const chart_internal::Transition& TransitionOf(State state,
+                                                 Event event) const {
     const std::size_t events = EnumTable<Event>::kEntries.size();
-    return table_.arrows[chart_internal::IndexOf(state) * events +
-                         chart_internal::IndexOf(event)];
+    return table_.transitions[chart_internal::IndexOf(state) * events +
+                              chart_internal::IndexOf(event)];
   }
 
   chart_internal::Table table_;
--- a/chart/testing/chart_test.cc
+++ b/chart/testing/chart_test.cc
@@ -82,7 +82,8 @@
      "shut/push"},
     {R"("to": "shut")", R"("to": "gone")", ChartFault::kUnreachableState,
      "shut"},
-    {R"("final": ["gone"])", R"("final": [])", ChartFault::kNoWayOut, "open"},
+    {R"("final": ["gone"])", R"("final": [])",
+     ChartFault::kNoFinalStateReachable, "open"},
 };
 
 BOOST_AUTO_TEST_CASE(RefusesWhatIsIncomplete) {
