--- a/cli/budget_commands.cc
+++ b/cli/budget_commands.cc
@@ -1,4 +1,4 @@
-// `quaytrack budget ...` and `quaytrack bills`: what the ledger holds.
+// `quaytrack budget ...` and `quaytrack bills`: show and change the ledger.
 
 #include <CLI/CLI.hpp>
 #include <cstdio>
@@ -26,7 +26,7 @@
   std::int64_t tokens = 0;
 };
 
-// All budgets, or none if the service can't be reached.
+// All budgets; empty if the service can't be reached.
 std::optional<std::map<BudgetName, BudgetEntry>> ReadBudgets(KvSession& kv) {
   const EtcdTxnReply reply = kv.Get(keys::kLedgerPrefix, true);
   if (reply.end != EtcdEnd::kOk) return std::nullopt;
@@ -58,8 +58,8 @@
   Json list = Json::array();
   for (const auto& [name, it] : *budgets) {
     Json grants = Json::object();
-    for (const auto& [who, n] : it.grants) grants[who.value] = n;
-    // "customer" repeats the budget's name for tools that look for it.
+    for (const auto& [holder, n] : it.grants) grants[holder.value] = n;
+    // "customer" repeats the budget's name, for tools that read this field.
     list.push_back({{"budget", name.value},
                     {"customer", name.value},
                     {"limit", it.Limit()},
@@ -84,8 +84,8 @@
   return kExitOk;
 }
 
-// Adds to a budget once, however often the answer is lost: the operation id in
-// the record tells this command its own write from another's.
+// Adds to a budget exactly once, even if answers are lost: by the operation id
+// in the record, this command recognises a write of its own that succeeded.
 int AddToBudget(const BudgetFlags& flags, const CommonFlags& common) {
   constexpr int kTries = 8;
   constexpr std::size_t kOperationIdBytes = 16;
@@ -99,7 +99,7 @@
     auto record = read.found[0].empty() ? std::nullopt
                                         : DecodeRecord(read.found[0][0].value);
     if (!record || !record->budgets.contains(name)) {
-      std::fprintf(stderr, "budget: no budget is called '%s'\n",
+      std::fprintf(stderr, "budget '%s' does not exist\n",
                    flags.budget.c_str());
       return kExitRefused;
     }
@@ -119,11 +119,13 @@
                 static_cast<long long>(entry.Limit()));
     return kExitOk;
   }
-  std::fprintf(stderr, "no answer; look at the limit before trying again\n");
+  std::fprintf(stderr,
+               "no answer; check the budget's limit before trying again\n");
   return kExitUnknown;
 }
 
-// Re-adds the ledger from the bills and names every difference.
+// Compares each budget's settled tokens with the sum of its bills, and prints
+// every difference.
 int Audit(const CommonFlags& common) {
   KvSession kv(common.kv);
   EtcdTxn txn;
@@ -205,7 +207,7 @@
   show->add_flag("--json", common.json, "Print JSON");
   show->callback([&common, &exit_code] { exit_code = ShowBudgets(common); });
 
-  CLI::App* add = budget->add_subcommand("add", "Top a budget up");
+  CLI::App* add = budget->add_subcommand("add", "Add tokens to a budget");
   add->add_option("budget", flags->budget, "Budget")->required();
   add->add_option("tokens", flags->tokens, "Tokens to add")
       ->required()
@@ -224,7 +226,8 @@
   CLI::App* bills = app.add_subcommand("bills", "List bills");
   bills->footer("Example:\n  quaytrack bills --customer clinic-a --json\n");
   auto customer = std::make_shared<std::string>();
-  bills->add_option("--customer", *customer, "Only this customer's");
+  bills->add_option("--customer", *customer,
+                    "Show only bills of this customer");
   bills->add_flag("--json", common.json, "Print JSON");
   AddKvFlag(*bills, common);
   bills->callback(
--- a/cli/bundle_commands.cc
+++ b/cli/bundle_commands.cc
@@ -27,7 +27,7 @@
 
 struct BundleFlags {
   std::string file;
-  std::string other_file;
+  std::string after_file;
   std::string operator_name;
   std::string key_file;
   std::string out;
@@ -52,7 +52,7 @@
   return false;
 }
 
-// Reads a bundle file, printing everything that is wrong with it.
+// Reads a bundle file, and prints every problem in it.
 std::optional<Bundle> ReadBundleFile(const std::string& path,
                                      std::string& text) {
   auto read = ReadFile(path);
@@ -140,16 +140,16 @@
   return out;
 }
 
-// Tells the operator whose bundle won, and what differs.
-int ReportLoss(KvSession& kv, const BundleHead& winner,
-               const std::string& own_text) {
-  std::fprintf(stderr, "not applied: version %llu of %s is in force\n",
+// Prints which bundle is in force instead, and how the refused one differs.
+int ReportConflict(KvSession& kv, const BundleHead& winner,
+                   const std::string& refused_text) {
+  std::fprintf(stderr, "not applied: version %llu by %s is in force\n",
                static_cast<unsigned long long>(winner.version),
                winner.applied_by.c_str());
-  for (const std::string& it : DiffBundles(TextOf(kv, winner), own_text)) {
+  for (const std::string& it : DiffBundles(TextOf(kv, winner), refused_text)) {
     std::fprintf(stderr, "  %s\n", it.c_str());
   }
-  return kExitLostRace;
+  return kExitConflict;
 }
 
 EtcdTxn ApplyTxn(const BundleHead& head, const std::string& text,
@@ -199,7 +199,7 @@
     return kExitOk;
   }
   if (current && current->version >= head.version) {
-    return ReportLoss(kv, *current, text);
+    return ReportConflict(kv, *current, text);
   }
   const std::int64_t revision = current ? before.found[0][0].mod_revision : 0;
   const EtcdTxnReply reply = kv.Txn(ApplyTxn(head, text, revision));
@@ -209,7 +209,7 @@
   }
   if (!reply.succeeded) {
     const auto winner = HeadIn(reply);
-    return winner ? ReportLoss(kv, *winner, text) : kExitUnknown;
+    return winner ? ReportConflict(kv, *winner, text) : kExitUnknown;
   }
   std::printf("version %llu applied\n",
               static_cast<unsigned long long>(head.version));
@@ -231,7 +231,7 @@
 
 int Diff(const BundleFlags& flags) {
   const auto before = ReadFile(flags.file);
-  const auto after = ReadFile(flags.other_file);
+  const auto after = ReadFile(flags.after_file);
   if (!before || !after) return kExitRefused;
   for (const std::string& it : DiffBundles(*before, *after)) {
     std::printf("%s\n", it.c_str());
@@ -291,11 +291,11 @@
       ->required();
   keygen->callback([=, &exit_code] { exit_code = Keygen(*flags); });
 
-  CLI::App* check = add("check", "Report everything wrong with a bundle");
+  CLI::App* check = add("check", "Report every problem in a bundle");
   check->add_option("file", flags->file, "Bundle")->required();
   check->callback([=, &exit_code] { exit_code = Check(*flags); });
 
-  CLI::App* sign = add("sign", "Sign a bundle off");
+  CLI::App* sign = add("sign", "Sign a bundle");
   sign->add_option("file", flags->file, "Bundle")->required();
   sign->add_option("--name", flags->operator_name, "Operator")->required();
   sign->add_option("--key", flags->key_file, "Private key")->required();
@@ -314,9 +314,10 @@
   AddKvFlag(*show, common);
   show->callback([&common, &exit_code] { exit_code = Show(common); });
 
-  CLI::App* diff = add("diff", "Print the lines that differ");
+  CLI::App* diff =
+      add("diff", "Print the lines that differ between two bundles");
   diff->add_option("before", flags->file, "Bundle")->required();
-  diff->add_option("after", flags->other_file, "Bundle")->required();
+  diff->add_option("after", flags->after_file, "Bundle")->required();
   diff->callback([=, &exit_code] { exit_code = Diff(*flags); });
 
   CLI::App* status = add("status", "Show the version in force at each router");
--- a/cli/commands.h
+++ b/cli/commands.h
@@ -1,6 +1,6 @@
-// The commands of the quaytrack binary. Each adds itself to the command line
-// and, when it was asked for, leaves its result (cli/exit_codes.h) in
-// `exit_code`.
+// The commands of the quaytrack binary. Each function adds a command to the
+// command line; if the user calls it, the command stores its result in
+// `exit_code` (cli/exit_codes.h), which must outlive parsing.
 //
 //   AddRelayCommand(app, exit_code);
 //   CLI11_PARSE(app, argc, argv);
@@ -32,7 +32,7 @@
 void AddBillsCommand(CLI::App& app, CommonFlags& common, int& exit_code);
 void AddFleetCommands(CLI::App& app, int& exit_code);
 
-// Adds the flag that every command with the key-value service needs.
+// Adds the flag that every command that uses the key-value service needs.
 void AddKvFlag(CLI::App& command, CommonFlags& common);
 
 }  // namespace quaytrack
--- a/cli/exit_codes.h
+++ b/cli/exit_codes.h
@@ -1,6 +1,6 @@
-// Exit codes of the quaytrack command, which operators' scripts read: none may
-// change its meaning. docs/OPERATING-router.md lists them. A command that ends
-// by a signal, or is called wrongly, has the code of the shell or of CLI11.
+// Exit codes of the quaytrack command. Operators' scripts read them, so none
+// may change its meaning. docs/OPERATING-router.md lists them. A command that a
+// signal ends has the shell's code.
 
 #ifndef QUAYTRACK_CLI_EXIT_CODES_H_
 #define QUAYTRACK_CLI_EXIT_CODES_H_
@@ -9,15 +9,16 @@
 
 enum ExitCode : int {
   kExitOk = 0,
-  // The input (a setting, a bundle, an argument) was refused.
+  // The input (a setting, a bundle, an argument) was refused, or the command
+  // line couldn't be parsed.
   kExitRefused = 2,
-  // The key-value service or a router could not be reached: nothing happened.
+  // The key-value service or a router couldn't be reached; nothing was changed.
   kExitUnreachable = 3,
-  // Another operator was first.
-  kExitLostRace = 4,
-  // It isn't known whether the write took effect; run the command again.
+  // Another operator's change was applied first.
+  kExitConflict = 4,
+  // Unknown whether the write took effect; run the command again.
   kExitUnknown = 5,
-  // An audit found a difference.
+  // An audit found a difference, or `explain` found no line.
   kExitDifference = 6,
 };
 
--- a/cli/explain.cc
+++ b/cli/explain.cc
@@ -7,22 +7,24 @@
 namespace quaytrack {
 namespace {
 
-struct Belief {
+struct StateEvent {
   std::string_view event;
   std::string_view kind;
 };
 
-// Events that change what a router believes, by what they are about.
-constexpr auto kBeliefs = std::to_array<Belief>({{"QT1001", "process"},
-                                                 {"QT1003", "process"},
-                                                 {"QT1101", "store"},
-                                                 {"QT1102", "store"},
-                                                 {"QT1203", "configuration"},
-                                                 {"QT1308", "targets"},
-                                                 {"QT1409", "budget"},
-                                                 {"QT1412", "predecessor"}});
+// Events that change a router's state, with the kind of state.
+constexpr auto kStateEvents =
+    std::to_array<StateEvent>({{"QT1001", "process"},
+                               {"QT1003", "process"},
+                               {"QT1101", "store"},
+                               {"QT1102", "store"},
+                               {"QT1203", "configuration"},
+                               {"QT1308", "targets"},
+                               {"QT1409", "budget"},
+                               {"QT1412", "predecessor"}});
 
-// Both forms of a line begin with the time, or have it as their first field.
+// The time of a line: a text line begins with it, a JSON line has it as its
+// first field.
 std::string TimeOf(const std::string& line) {
   constexpr std::string_view kJsonTime = "{\"time\":\"";
   const bool json = line.starts_with(kJsonTime);
@@ -31,58 +33,58 @@
   return line.substr(begin, end - begin);
 }
 
-std::string_view KindOf(const std::string& line) {
-  for (const Belief& it : kBeliefs) {
+std::string_view StateKindOf(const std::string& line) {
+  for (const StateEvent& it : kStateEvents) {
     if (line.find(it.event) != std::string::npos) return it.kind;
   }
   return {};
 }
 
-// In either form of a line.
+// Whether a text or JSON line has the field with this value.
 bool HasField(const std::string& line, const std::string& name,
               const std::string& value) {
   const std::string text = name + "=" + value;
   const std::string json = "\"" + name + "\":\"" + value + "\"";
   const std::size_t at = line.find(text);
   const std::size_t end = at + text.size();
-  const bool whole =
+  const bool matches =
       at != std::string::npos && (end == line.size() || line[end] == ' ');
-  return whole || line.find(json) != std::string::npos;
+  return matches || line.find(json) != std::string::npos;
 }
 
 }  // namespace
 
-bool RequestStory::IsAbout(const std::string& line) const {
+bool RequestTimeline::IsAbout(const std::string& line) const {
   return HasField(line, "request", request_) ||
          HasField(line, "fingerprint", request_);
 }
 
-void RequestStory::Add(const std::string& source, const std::string& line) {
+void RequestTimeline::Add(const std::string& source, const std::string& line) {
   if (line.find("QT1") == std::string::npos) {
     ++unreadable_;
     return;
   }
   Line it{TimeOf(line), source, line};
   if (!IsAbout(line)) {
-    const std::string_view kind = KindOf(line);
-    if (!kind.empty()) beliefs_[source][std::string(kind)] = std::move(it);
+    const std::string_view kind = StateKindOf(line);
+    if (!kind.empty()) states_[source][std::string(kind)] = std::move(it);
     return;
   }
-  if (!beliefs_before_.contains(source)) {
-    std::vector<Line>& before = beliefs_before_[source];
-    for (const auto& [kind, belief] : beliefs_[source]) {
-      before.push_back(belief);
+  if (!states_before_.contains(source)) {
+    std::vector<Line>& before = states_before_[source];
+    for (const auto& [kind, state] : states_[source]) {
+      before.push_back(state);
     }
   }
   lines_.push_back(std::move(it));
 }
 
-std::string RequestStory::Text() const {
+std::string RequestTimeline::Text() const {
   const auto earlier = [](const Line& a, const Line& b) {
     return a.time < b.time;
   };
   std::string out;
-  for (const auto& [source, before] : beliefs_before_) {
+  for (const auto& [source, before] : states_before_) {
     std::vector<Line> sorted = before;
     std::stable_sort(sorted.begin(), sorted.end(), earlier);
     out += "what " + source + " believed:\n";
--- a/cli/explain.h
+++ b/cli/explain.h
@@ -1,15 +1,16 @@
-// Joins the log lines of all routers about one request into its story.
+// Collects the log lines of all routers about one request, in order of time.
 //
-//   RequestStory story("9c41d07be2a35f68");
-//   while (std::getline(in, line)) story.Add("router-1.log", line);
-//   std::fputs(story.Text().c_str(), stdout);
+//   RequestTimeline timeline("9c41d07be2a35f68");
+//   while (std::getline(in, line)) timeline.Add("router-1.log", line);
+//   std::fputs(timeline.Text().c_str(), stdout);
 //
-// A request's fingerprint in place of its id joins the lines about all returns
-// of its caller, at all routers.
+// With a request's fingerprint in place of its id, the lines of all repetitions
+// of the request are collected.
 //
-// Beside the request's own lines it keeps, for each source, the latest line of
-// each belief (configuration, store lost or back, stop) that stood before them,
-// since these explain most refusals.
+// The output also has, for each source, the latest line on each part of the
+// router's state (such as its configuration, or the loss of the store) before
+// the request's first line, since these explain most refusals. Nothing here
+// fails; lines without an event number are counted.
 
 #ifndef QUAYTRACK_CLI_EXPLAIN_H_
 #define QUAYTRACK_CLI_EXPLAIN_H_
@@ -22,16 +23,18 @@
 
 namespace quaytrack {
 
-class RequestStory {
+class RequestTimeline {
  public:
-  explicit RequestStory(std::string request) : request_(std::move(request)) {}
+  explicit RequestTimeline(std::string request)
+      : request_(std::move(request)) {}
 
   void Add(const std::string& source, const std::string& line);
 
   bool empty() const { return lines_.empty(); }
   // Lines that carry no event number.
   std::size_t unreadable() const { return unreadable_; }
-  // In order of time; the beliefs before the first line of each source.
+  // The lines in order of time, after the state of each source before its first
+  // line.
   std::string Text() const;
 
  private:
@@ -44,9 +47,9 @@
   bool IsAbout(const std::string& line) const;
 
   std::string request_;
-  // By source and kind of belief.
-  std::map<std::string, std::map<std::string, Line>> beliefs_;
-  std::map<std::string, std::vector<Line>> beliefs_before_;
+  // The latest line by source and kind of state.
+  std::map<std::string, std::map<std::string, Line>> states_;
+  std::map<std::string, std::vector<Line>> states_before_;
   std::vector<Line> lines_;
   std::size_t unreadable_ = 0;
 };
--- a/cli/explain_command.cc
+++ b/cli/explain_command.cc
@@ -1,4 +1,4 @@
-// `quaytrack explain`: the story of one request from the routers' logs.
+// `quaytrack explain`: prints the lines of one request from the routers' logs.
 
 #include <CLI/CLI.hpp>
 #include <cstdio>
@@ -25,15 +25,16 @@
   std::vector<std::string> files;
 };
 
-void AddAll(std::istream& in, const std::string& source, RequestStory& story) {
-  for (std::string line; std::getline(in, line);) story.Add(source, line);
+void AddAll(std::istream& in, const std::string& source,
+            RequestTimeline& timeline) {
+  for (std::string line; std::getline(in, line);) timeline.Add(source, line);
 }
 
 int Explain(const ExplainFlags& flags) {
-  RequestStory story(flags.request);
+  RequestTimeline timeline(flags.request);
   for (const std::string& it : flags.files) {
     if (it == "-") {
-      AddAll(std::cin, "stdin", story);
+      AddAll(std::cin, "stdin", timeline);
       continue;
     }
     std::ifstream in(it);
@@ -41,16 +42,17 @@
       std::fprintf(stderr, "FILES: '%s' can't be read\n", it.c_str());
       return kExitRefused;
     }
-    AddAll(in, it, story);
+    AddAll(in, it, timeline);
   }
-  if (story.unreadable() > 0) {
-    std::fprintf(stderr, "%zu lines are no log lines\n", story.unreadable());
+  if (timeline.unreadable() > 0) {
+    std::fprintf(stderr, "%zu lines are not log lines\n",
+                 timeline.unreadable());
   }
-  if (story.empty()) {
+  if (timeline.empty()) {
     std::fprintf(stderr, "no line about request '%s'\n", flags.request.c_str());
     return kExitDifference;
   }
-  std::fputs(story.Text().c_str(), stdout);
+  std::fputs(timeline.Text().c_str(), stdout);
   return kExitOk;
 }
 
@@ -58,12 +60,15 @@
 
 void AddExplainCommand(CLI::App& app, int& exit_code) {
   CLI::App* command =
-      app.add_subcommand("explain", "Tell what happened to a request");
+      app.add_subcommand("explain", "Show the log lines about a request");
   command->footer(kExample);
   auto flags = std::make_shared<ExplainFlags>();
-  command->add_option("--request", flags->request, "Id of the request")
+  command
+      ->add_option("--request", flags->request,
+                   "Id or fingerprint of the request")
       ->required();
-  command->add_option("FILES", flags->files, "Log files, or - for input")
+  command
+      ->add_option("FILES", flags->files, "Log files, or - for standard input")
       ->required();
   command->callback([flags, &exit_code] { exit_code = Explain(*flags); });
 }
--- a/cli/fleet_commands.cc
+++ b/cli/fleet_commands.cc
@@ -1,4 +1,4 @@
-// `quaytrack status` and `quaytrack drain`: asks one router's admin address.
+// `quaytrack status` and `quaytrack drain`: call one router's admin address.
 
 #include <CLI/CLI.hpp>
 #include <cstdio>
@@ -14,8 +14,8 @@
 
 constexpr Duration kTimeout = std::chrono::seconds(5);
 
-int Ask(const std::string& admin, const std::string& method,
-        const std::string& path) {
+int CallAdmin(const std::string& admin, const std::string& method,
+              const std::string& path) {
   Loop loop;
   HttpClient http(loop);
   HttpResult answer;
@@ -51,7 +51,7 @@
         ->envname("QUAYTRACK_ADMIN")
         ->required();
     it->callback(
-        [=, &exit_code] { exit_code = Ask(*admin, method, "/" + name); });
+        [=, &exit_code] { exit_code = CallAdmin(*admin, method, "/" + name); });
   };
   add("status", "Show a router's state", "GET");
   add("drain", "Stop a router once its requests have ended", "POST");
--- a/cli/kv_session.h
+++ b/cli/kv_session.h
@@ -1,12 +1,12 @@
-// The key-value service for commands: each call waits for its answer.
+// KvSession gives commands blocking calls to the key-value service.
 //
 //   KvSession kv(common.kv);
 //   const EtcdTxnReply reply = kv.Get(keys::kBundleHead);
 //   if (reply.end != EtcdEnd::kOk) return Unreachable();
 //
-// It owns a loop of its own and is for processes that do nothing else. A read
-// that isn't answered goes to the other endpoints as well; a transaction that
-// writes is sent once, as it may have taken effect.
+// It runs its own loop, and is for processes that do nothing else meanwhile. A
+// read that fails is repeated at the other endpoints; a transaction that writes
+// is sent only once, as it may have taken effect without an answer.
 
 #ifndef QUAYTRACK_CLI_KV_SESSION_H_
 #define QUAYTRACK_CLI_KV_SESSION_H_
@@ -25,8 +25,8 @@
 
 namespace quaytrack {
 
-// How long a command waits for one answer. A router has callers that wait and
-// gives up sooner; an operator would only ask again. Not measured.
+// Timeout of one call. It is longer than a router's, which has callers waiting;
+// an operator would only repeat the command.
 inline constexpr Duration kCommandTimeout = std::chrono::seconds(5);
 
 class KvSession {
@@ -52,8 +52,8 @@
     return Read(txn);
   }
 
-  // A transaction of reads alone. The client goes to its next endpoint when one
-  // doesn't answer, so each is asked once.
+  // A transaction that only reads. The client switches to its next endpoint
+  // when one doesn't answer, so each endpoint is tried once.
   EtcdTxnReply Read(const EtcdTxn& txn) {
     EtcdTxnReply out;
     for (std::size_t n = 0; n < endpoints_; ++n) {
@@ -70,7 +70,7 @@
   EtcdClient kv_;
 };
 
-// Says so, and returns the exit code for it.
+// Prints that the service can't be reached, and returns the exit code.
 inline int Unreachable() {
   std::fprintf(stderr, "the key-value service can't be reached\n");
   return kExitUnreachable;
--- a/cli/relay_command.cc
+++ b/cli/relay_command.cc
@@ -1,4 +1,4 @@
-// `quaytrack relay`: runs the router as a resident of the platform.
+// `quaytrack relay`: runs the relay, the router on the platform's interface.
 
 #include <CLI/CLI.hpp>
 #include <csignal>
@@ -40,7 +40,7 @@
   for (int it : {SIGTERM, SIGINT}) {
     loop.OnSignal(it, [&] { router.StartPlannedStop(); });
   }
-  // Nothing of the settings can change while the process runs.
+  // SIGHUP is only logged: settings can't change while the process runs.
   loop.OnSignal(SIGHUP, [] { LogEvent(Event::kReloadAsked, {}); });
   router.Start();
   loop.Run();
@@ -51,7 +51,7 @@
 
 void AddRelayCommand(CLI::App& app, int& exit_code) {
   CLI::App* command = app.add_subcommand(
-      "relay", "Run the router as a resident of the platform");
+      "relay", "Run the relay, the router on the platform's interface");
   command->footer(kExample);
   auto flags = std::make_shared<RelayFlags>();
   AddRelayFlags(*command, *flags);
--- a/cli/run_process.h
+++ b/cli/run_process.h
@@ -1,10 +1,11 @@
-// RunProcess: what the commands that run a router share.
+// RunProcess checks settings and runs a process, for the commands `router` and
+// `relay`.
 //
 //   exit_code = RunProcess<RelaySettings>(flags, CheckRelaySettings,
 //                                         BindDrainChart, Serve);
 //
-// Settings are checked as a whole, and every fault is printed to standard
-// error. With --check-settings the command ends there. Otherwise the log is set
+// All settings are checked, and every fault is printed to standard error. With
+// --check-settings the command ends there. Otherwise the log is set
 // up, the state charts are bound, and `serve` runs until the process ends. The
 // exit code is that of `serve`, or kExitRefused for faulty settings or a chart
 // that the code can't interpret.
