--- a/testing/engine_standin.cc
+++ b/testing/engine_standin.cc
@@ -1,5 +1,5 @@
-// A stand-in for a model engine: continuous batching, a prefix cache,
-// priorities, cancel, and a load report that lags.
+// A stand-in for a model engine, with continuous batching, a prefix cache,
+// priorities, cancellation, and a load report that lags.
 
 #include <algorithm>
 #include <deque>
@@ -22,7 +22,7 @@
 constexpr std::size_t kBytesPerToken = 4;
 constexpr std::size_t kPrefixBytes = 512;
 constexpr Duration kReportLag = std::chrono::milliseconds(300);
-constexpr Duration kLongestTick = std::chrono::milliseconds(50);
+constexpr Duration kMaxStep = std::chrono::milliseconds(50);
 
 enum class Mode { kNormal, kRefuse, kHang, kReset, kGarble, kNoUsage };
 
@@ -34,7 +34,7 @@
                                     {Mode::kGarble, "garble"},
                                     {Mode::kNoUsage, "no_usage"}});
 
-// One execution, running or ended; the engine's own book.
+// The engine's record of one execution, running or ended.
 struct Execution {
   std::string request;
   std::string key;
@@ -48,7 +48,7 @@
   std::string ended = "running";
   bool chat = true;
   bool stream = false;
-  // Name of each token; shows whose answer it is.
+  // Prefix of each token; identifies the prompt that the answer belongs to.
   std::string tag;
   std::string text;
   Instant first_token_at{};
@@ -126,7 +126,8 @@
     Admit();
   }
 
-  // Whether the prefix was cached; it is now, and the oldest may be gone.
+  // Returns whether the prefix was cached, and caches it; the least recently
+  // used one may be evicted.
   bool TouchPrefix(const std::string& prefix) {
     auto it = std::find(cache_.begin(), cache_.end(), prefix);
     const bool hit = it != cache_.end();
@@ -165,12 +166,12 @@
       }
     }
     if (running_.empty() || step_timer_) return;
-    const Duration step = std::min<Duration>(
-        std::chrono::milliseconds(flags_.step_ms), kLongestTick);
+    const Duration step =
+        std::min<Duration>(std::chrono::milliseconds(flags_.step_ms), kMaxStep);
     step_timer_ = standin_.loop().Every(step, [this] { Step(); });
   }
 
-  // One step of the batch: a token for each running request.
+  // Runs one step of the batch: makes a token for each running request.
   void Step() {
     const Instant now = standin_.Now();
     const std::vector<ExecutionPtr> batch(running_.begin(), running_.end());
@@ -260,7 +261,7 @@
     std::erase(running_, it);
   }
 
-  // POST /v1/requests/<id>/cancel: ends it, and tells what had run.
+  // POST /v1/requests/<id>/cancel: ends the request, and returns its usage.
   void CancelById(const ExchangePtr& exchange) {
     const std::string path = exchange->path();
     static const std::string kPrefix = "/v1/requests/";
@@ -275,7 +276,7 @@
     exchange->Reply({404, "application/json", {}, R"({"error":"unknown"})"});
   }
 
-  // What is reported is as old as the last tick of the report timer.
+  // Takes the snapshot that `Load` returns until the next tick of the timer.
   void Report() {
     reported_running_ = running_.size();
     reported_queued_ = queue_.size();
--- a/testing/fault_proxy.cc
+++ b/testing/fault_proxy.cc
@@ -1,9 +1,9 @@
-// A TCP proxy that breaks what passes through it, on command:
+// A TCP proxy that injects faults on command:
 //
 //   pass          forwards both ways, after `delay_ms`;
-//   cut           closes every connection and takes no new one;
+//   cut           closes every connection and accepts no new one;
 //   freeze        keeps connections open and forwards nothing;
-//   drop_answers  forwards requests and throws answers away.
+//   drop_answers  forwards requests and discards answers.
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -32,7 +32,7 @@
 
 class FaultProxy;
 
-// One proxied connection: a caller's side and the upstream's side.
+// One proxied connection: the caller's side and the upstream's side.
 struct Link {
   FaultProxy* proxy = nullptr;
   bufferevent* caller = nullptr;
@@ -56,8 +56,8 @@
     if (listener_ != nullptr) evconnlistener_free(listener_);
   }
 
-  // The proxied address is bound beside the two of the stand-in, and printed
-  // as the service's.
+  // Binds the proxied address in addition to the stand-in's two addresses, and
+  // prints it first, as the address of the service.
   int Run(const StandinFlags& flags) {
     const auto at = ParseAddress(flags.listen);
     if (!at) return 2;
@@ -131,7 +131,7 @@
     if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
     auto* link = static_cast<Link*>(raw);
     FaultProxy* proxy = link->proxy;
-    // What was read is passed on before both sides close.
+    // Forwards bytes that were read before both sides close.
     proxy->Forward(*link, link->upstream);
     proxy->standin_.loop().Post([proxy, link] { proxy->Drop(link); });
   }
--- a/testing/fleet.cc
+++ b/testing/fleet.cc
@@ -21,10 +21,10 @@
 constexpr int kStartLimitMs = 20000;
 constexpr Duration kCheckEvery = std::chrono::milliseconds(10);
 
-// Programs of one build stand in one folder.
+// All programs of a build are in the folder of this one.
 std::string BinaryPath(const std::string& binary) {
-  const auto own = std::filesystem::read_symlink("/proc/self/exe");
-  return (own.parent_path() / binary).string();
+  const auto self = std::filesystem::read_symlink("/proc/self/exe");
+  return (self.parent_path() / binary).string();
 }
 
 std::string NewDirectory(const std::string& name) {
@@ -80,7 +80,7 @@
   for (auto& [name, it] : processes_) {
     if (it.alive) waitpid(it.pid, nullptr, 0);
   }
-  // docs/ON-CALL-relay.md reads what a run has left.
+  // The logs may be kept for use with docs/ON-CALL-relay.md.
   if (!temporary_ || std::getenv("QUAYTRACK_KEEP_LOGS") != nullptr) return;
   std::error_code ignored;
   std::filesystem::remove_all(directory_, ignored);
--- a/testing/fleet.h
+++ b/testing/fleet.h
@@ -1,20 +1,20 @@
-// A fleet of separate processes on loopback, for process tests and tools/fleet:
-// it starts them, finds out where they listen, signals them, calls them over
-// HTTP and waits for conditions.
+// Fleet runs separate processes on loopback, for process tests and tools/fleet.
+// It starts them, learns their addresses, sends them signals and HTTP requests,
+// and waits for conditions.
 //
-//   class MyFleet : public Fleet {...};   // says which processes there are
+//   class MyFleet : public Fleet {...};   // chooses the processes
 //   fleet.SpawnStandin("store", "store", {});
 //   fleet.Kill("router-2", SIGKILL);
 //   fleet.Control("store", "mode?mode=hang");
 //   fleet.WaitFor([&] { return fleet.LogCount("peer_linked") > 0; });
 //
-// It owns the processes, which end with it, and the folder with their logs. All
-// ports are free ones picked by the processes themselves, which print
-// "listening SERVICE ADMIN" when they are ready (a proxy prints "proxying
-// ADDRESS" before). Nothing here waits for a time; `WaitFor` waits for a
-// condition, with a limit far beyond any honest delay.
+// Fleet owns the processes, which end with it, and the folder with their logs.
+// The processes bind free ports, and print "listening SERVICE ADMIN" when they
+// are ready (a proxy first prints "proxying ADDRESS"). Nothing here sleeps for
+// a fixed time: `WaitFor` waits for a condition, with a limit far longer than
+// any delay without a fault.
 //
-// testing/router_fleet.h has the fleet of `quaytrack router`,
+// testing/router_fleet.h has the fleet of `quaytrack router`, and
 // platform/testing/resident_fleet.h that of `quaytrack relay`.
 
 #ifndef QUAYTRACK_TESTING_FLEET_H_
@@ -40,7 +40,7 @@
   pid_t pid = 0;
   std::string address;
   std::string admin;
-  // Exit status once it has been reaped.
+  // Wait status, once the process has been reaped.
   int status = 0;
   bool alive = false;
 };
@@ -64,9 +64,9 @@
 
 class Fleet {
  public:
-  // Logs go to `directory`; if that is empty, to a new folder in /tmp that has
-  // `name` in its own and is removed at the end, unless QUAYTRACK_KEEP_LOGS is
-  // set.
+  // Logs go to `directory`. If that is empty, they go to a new folder in /tmp
+  // whose name contains `name`, and which is removed at the end unless
+  // QUAYTRACK_KEEP_LOGS is set.
   explicit Fleet(const std::string& name, std::string directory = "");
   ~Fleet();
   Fleet(const Fleet&) = delete;
@@ -76,40 +76,42 @@
   const std::map<std::string, FleetProcess>& processes() const {
     return processes_;
   }
-  // Port of the process's service.
+  // The port of the process's service.
   int port(const std::string& name);
   static std::string RouterName(int n) { return "router-" + std::to_string(n); }
   std::string Router(int n) { return Process(RouterName(n)).address; }
 
-  // Sends a signal; SIGKILL also waits until the process is gone.
+  // Sends a signal; after SIGKILL, also waits until the process has ended.
   void Kill(const std::string& name, int signal);
   // Waits for the process to end; returns its wait status.
   int Await(const std::string& name);
-  // Collects processes that have ended.
+  // Reaps processes that have ended.
   void Reap();
 
-  // One HTTP call, waiting for its answer.
+  // Makes one HTTP call and waits for its answer.
   TestReply Call(const std::string& address, const TestRequest& request);
-  // Starts a call; `done` runs while some later call or `WaitFor` waits.
+  // Starts a call; `done` runs during a later `Call` or `WaitFor`.
   std::shared_ptr<HttpCall> Begin(const std::string& address,
                                   const TestRequest& request,
                                   std::function<void(const TestReply&)> done);
+  // Calls a stand-in's control, "/control/<what>".
   TestReply Control(const std::string& name, const std::string& what);
-  // Runs the loop until `condition` holds; false after the limit.
+  // Runs the loop until `condition` is true; returns false after the limit.
   bool WaitFor(const std::function<bool()>& condition,
                Duration limit = std::chrono::seconds(40));
 
-  // What all targets of a kind say they ran.
+  // The executions that all targets of a kind have recorded.
   nlohmann::json Executions(const std::string& kind);
   // Runs the quaytrack command; returns its exit code and output.
   int Command(std::vector<std::string> arguments, std::string* output);
-  // How many lines of the processes' logs contain `text`.
+  // The number of lines in the processes' logs that contain `text`.
   int LogCount(const std::string& text) const;
 
  protected:
   Loop& loop() { return loop_; }
   const std::string& directory() const { return directory_; }
-  // Starts a process; false, with a line about its log, if it isn't ready soon.
+  // Starts a process. If it isn't ready within 20 s, names its log on standard
+  // error and returns false.
   bool Spawn(const std::string& name, const std::string& kind,
              std::vector<std::string> arguments);
   // Starts the stand-in that `kind` names in testing/standins_main.cc.
@@ -118,10 +120,10 @@
   // Starts quaytrack as router `n`, with `arguments` and `more`.
   bool SpawnRouter(int n, std::vector<std::string> arguments,
                    const std::vector<std::string>& more);
-  // Whether a router says at its admin address that it is ready.
+  // Whether a router reports at its admin address that it is ready.
   bool RouterReady(int n, const std::string& ready_path);
-  // The address of router `n`'s own fault proxy before a process,
-  // "<upstream>-proxy-<n>", which is started on first use.
+  // The address of the fault proxy "<upstream>-proxy-<n>", which only router
+  // `n` uses to reach the process `upstream`. It is started on first use.
   std::string ProxyFor(int n, const std::string& upstream);
 
  private:
--- a/testing/fleet_main.cc
+++ b/testing/fleet_main.cc
@@ -13,11 +13,12 @@
 
 void OnStop(int) { g_stop = 1; }
 
-// Written whole, then renamed, so that a reader never sees half of it.
+// Writes a temporary file and renames it, so that a reader never sees a part of
+// it.
 void WriteAtomically(const std::string& path, const std::string& text) {
-  const std::string part = path + ".part";
-  std::ofstream(part) << text << "\n";
-  std::rename(part.c_str(), path.c_str());
+  const std::string temporary = path + ".part";
+  std::ofstream(temporary) << text << "\n";
+  std::rename(temporary.c_str(), path.c_str());
 }
 
 }  // namespace
@@ -41,7 +42,7 @@
                "A fault proxy between each router and the key-value service");
   app.add_flag("--proxy-targets", spec.proxy_targets,
                "A fault proxy before each target");
-  app.add_flag("--restart", restart, "Bring back routers that have ended");
+  app.add_flag("--restart", restart, "Restart routers that have ended");
   app.add_option("--router-flag", spec.router_flags,
                  "Passed on to each router");
   CLI11_PARSE(app, argc, argv);
--- a/testing/kv_standin.cc
+++ b/testing/kv_standin.cc
@@ -1,4 +1,4 @@
-// A stand-in for the platform's key-value service.
+// A stand-in for the platform's key-value service, etcd's JSON gateway.
 
 #include <event2/buffer.h>
 
@@ -20,12 +20,12 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kLargestValue = 1024 * 1024;
-constexpr std::size_t kMostTxnOps = 128;
-constexpr std::size_t kKeptEvents = 20000;
+constexpr std::size_t kMaxValueBytes = 1024 * 1024;
+constexpr std::size_t kMaxTxnOps = 128;
+constexpr std::size_t kMaxHistoryEvents = 20000;
 constexpr Duration kLeaseCheck = std::chrono::milliseconds(100);
 
-// How the service misbehaves.
+// How the service fails.
 enum class Mode { kNormal, kRefuse, kHang, kLose, kSlow };
 
 constexpr auto kModes =
@@ -90,20 +90,20 @@
           {"version", std::to_string(value.version)}};
 }
 
-// Counts calls within the present second.
+// Limits the calls within a second.
 class RateLimit {
  public:
-  explicit RateLimit(int most) : most_(most) {}
+  explicit RateLimit(int max_calls) : max_calls_(max_calls) {}
   bool Allows(Instant now) {
     if (now - since_ >= std::chrono::seconds(1)) {
       since_ = now;
       used_ = 0;
     }
-    return ++used_ <= most_;
+    return ++used_ <= max_calls_;
   }
 
  private:
-  int most_;
+  int max_calls_;
   int used_ = 0;
   Instant since_{};
 };
@@ -139,7 +139,7 @@
   }
 
  private:
-  // Applies the present mode around one call.
+  // Serves one call according to the current mode.
   template <class Call>
   void Serve(const ExchangePtr& exchange, Call call) {
     switch (mode_) {
@@ -147,11 +147,11 @@
         exchange->Reply({503, "application/json", {}, "{}"});
         return;
       case Mode::kHang:
-        held_.push_back(exchange);
+        unanswered_.push_back(exchange);
         return;
       case Mode::kLose:
         Answer(exchange, call, false);
-        held_.push_back(exchange);
+        unanswered_.push_back(exchange);
         return;
       case Mode::kSlow:
         standin_.Later(
@@ -182,7 +182,7 @@
     if (reply) ReplyJson(exchange, answer.dump());
   }
 
-  // A transaction that only gets counts as a read.
+  // A transaction without compares counts as a read.
   bool OverLimit(const std::string& path, const Json& body) {
     const bool reads = path == "/v3/kv/range" ||
                        (path == "/v3/kv/txn" && body.is_object() &&
@@ -226,7 +226,7 @@
     return RangeJson(body);
   }
 
-  bool Holds(const Json& compare) const {
+  bool IsMet(const Json& compare) const {
     auto it = data_.find(Field(compare, "key"));
     const bool exists = it != data_.end();
     const std::string target = compare.value("target", "MOD");
@@ -256,14 +256,14 @@
   }
 
   void CheckOps(const Json& ops) const {
-    if (ops.size() > kMostTxnOps) {
+    if (ops.size() > kMaxTxnOps) {
       throw std::runtime_error("too many operations in txn request");
     }
     std::set<std::string> keys;
     for (const Json& it : ops) {
       const Json* put = Op(it, "request_put", "requestPut");
       if (put == nullptr) continue;
-      if (Field(*put, "value").size() > kLargestValue) {
+      if (Field(*put, "value").size() > kMaxValueBytes) {
         throw std::runtime_error("request is too large");
       }
       if (!keys.insert(Field(*put, "key")).second) {
@@ -275,7 +275,7 @@
   Json Txn(const Json& body) {
     const Json compares = body.value("compare", Json::array());
     const bool ok = std::all_of(compares.begin(), compares.end(),
-                                [this](const Json& it) { return Holds(it); });
+                                [this](const Json& it) { return IsMet(it); });
     const Json ops = body.value(ok ? "success" : "failure", Json::array());
     CheckOps(ops);
     const bool writes = std::any_of(ops.begin(), ops.end(), IsWrite);
@@ -284,12 +284,12 @@
     if (!ok) ++calls_.rejected_writes;
     if (writes) ++revision_;
     Json responses = Json::array();
-    for (const Json& it : ops) responses.push_back(Do(it));
+    for (const Json& it : ops) responses.push_back(ApplyOp(it));
     if (writes) Notify();
     return {{"header", Header()}, {"succeeded", ok}, {"responses", responses}};
   }
 
-  Json Do(const Json& op) {
+  Json ApplyOp(const Json& op) {
     if (const Json* put = Op(op, "request_put", "requestPut")) {
       Put(Field(*put, "key"), Field(*put, "value"), Number(*put, "lease"));
       return {{"response_put", {{"header", Header()}}}};
@@ -389,7 +389,7 @@
       return;
     }
     if (mode_ == Mode::kHang) {
-      held_.push_back(exchange);
+      unanswered_.push_back(exchange);
       return;
     }
     ++calls_.watches;
@@ -433,7 +433,7 @@
   void Notify() {
     const auto events = std::exchange(pending_, {});
     for (const Event& it : events) history_.push_back(it);
-    while (history_.size() > kKeptEvents) history_.pop_front();
+    while (history_.size() > kMaxHistoryEvents) history_.pop_front();
     const bool silent = mode_ == Mode::kHang || mode_ == Mode::kRefuse;
     if (silent) return;
     for (const auto& [id, it] : watchers_) Send(it, events);
@@ -445,9 +445,9 @@
     const Params params(exchange->query());
     slow_ms_ = params.Number("ms", slow_ms_);
     const bool known = quaytrack::SetMode(params, kModes, mode_);
-    // An outage ends the watches too, as a restarted service would.
+    // An outage also ends the watches, as a restart of the service would.
     if (mode_ == Mode::kRefuse || mode_ == Mode::kHang) EndWatches();
-    if (mode_ == Mode::kNormal) held_.clear();
+    if (mode_ == Mode::kNormal) unanswered_.clear();
     exchange->Reply({known ? 200 : 400,
                      "text/plain",
                      {},
@@ -478,7 +478,7 @@
   std::map<std::uint64_t, Watcher> watchers_;
   std::deque<Event> history_;
   std::vector<Event> pending_;
-  std::vector<ExchangePtr> held_;
+  std::vector<ExchangePtr> unanswered_;
   std::int64_t revision_ = 1;
   std::int64_t last_lease_ = 1000;
   std::uint64_t last_watch_ = 0;
--- a/testing/most_within.h
+++ b/testing/most_within.h
@@ -1,8 +1,9 @@
-// The most of a list of times that lie within one span, wherever it begins.
+// The largest number of times from a list that lie within one span.
 //
 //   const std::size_t most = MostWithin(arrivals, std::chrono::seconds(1));
 //
-// For rules on what may come in any second. `T` is a time or a number.
+// Tests use it for limits on the events in any second. The span may begin at
+// any of the times and excludes its end. `T` is a time or a number.
 
 #ifndef QUAYTRACK_TESTING_MOST_WITHIN_H_
 #define QUAYTRACK_TESTING_MOST_WITHIN_H_
--- a/testing/process/bundle_test.cc
+++ b/testing/process/bundle_test.cc
@@ -1,4 +1,5 @@
-// Bundles: in force everywhere, never back, one winner of a race.
+// Tests that a bundle comes into force at every router, that an older one never
+// returns, and that only one of two concurrent bundles is applied.
 
 #include <fstream>
 
@@ -20,9 +21,9 @@
                         BundleFixture) {
   BOOST_TEST(fleet.ApplyBundle(2) == 0);
   BOOST_TEST(fleet.WaitFor([&] { return InForceEverywhere(2); }));
-  constexpr int kLostRace = 4;
-  BOOST_TEST(fleet.ApplyBundle(1) == kLostRace);
-  // A lower head written straight into the service changes nothing either.
+  constexpr int kConflict = 4;
+  BOOST_TEST(fleet.ApplyBundle(1) == kConflict);
+  // A later version still comes into force at every router.
   BOOST_TEST(fleet.ApplyBundle(3) == 0);
   BOOST_TEST(fleet.WaitFor([&] { return InForceEverywhere(3); }));
   std::string shown;
@@ -34,9 +35,9 @@
 BOOST_FIXTURE_TEST_CASE(SecondOperatorIsToldWhoWonAndWhatDiffers,
                         BundleFixture) {
   BOOST_TEST(fleet.ApplyBundle(5, "model other price-prompt=2\n") == 0);
-  constexpr int kLostRace = 4;
-  BOOST_TEST(fleet.ApplyBundle(5, "model different\n") == kLostRace);
-  // The same bundle again is no race.
+  constexpr int kConflict = 4;
+  BOOST_TEST(fleet.ApplyBundle(5, "model different\n") == kConflict);
+  // Applying the same bundle again is no conflict.
   BOOST_TEST(fleet.ApplyBundle(5, "model other price-prompt=2\n") == 0);
 }
 
--- a/testing/process/claim_failure_test.cc
+++ b/testing/process/claim_failure_test.cc
@@ -1,4 +1,5 @@
-// Calls that must not be repeated, when routers and services fail around them.
+// Tests that a call that must not be repeated runs at most once when routers
+// and services fail.
 
 #include "testing/process/fleet_fixture.h"
 
@@ -24,7 +25,7 @@
     }));
   }
   BOOST_TEST(ServiceRuns("l1") == 1);
-  // Run once, so billed once.
+  // The call ran once, so it is billed once.
   BOOST_TEST(fleet.WaitFor([&] { return fleet.Bills().size() == 1; }));
 }
 
@@ -35,7 +36,8 @@
   int ended = 0;
   fleet.Begin(fleet.Router(1), sign, [&](const TestReply&) { ++ended; });
   BOOST_REQUIRE(fleet.WaitFor([&] { return ServiceRuns("d1") == 1; }));
-  // While the owner lives, a retry elsewhere is told to come back.
+  // While the claim's owner lives, a retry at another router is refused with
+  // 409.
   const TestReply early = fleet.Call(fleet.Router(2), sign);
   BOOST_TEST(early.status == 409);
   BOOST_TEST(early.Json()["ran"] == "unknown");
--- a/testing/process/command_test.cc
+++ b/testing/process/command_test.cc
@@ -1,4 +1,5 @@
-// Operators' commands beside a key-value service that is slow or partly away.
+// Tests operators' commands while the key-value service is slow or not
+// reachable.
 
 #include "testing/process/fleet_fixture.h"
 
@@ -23,7 +24,7 @@
 };
 
 BOOST_FIXTURE_TEST_CASE(AReadWaitsForASlowAnswer, CommandFixture) {
-  // Longer than a router waits.
+  // Longer than a router's timeout.
   fleet.Control("kv", "mode?mode=slow&ms=1500");
   BOOST_TEST(fleet.Bills().is_array());
   BOOST_TEST(fleet.Budgets().is_array());
@@ -31,7 +32,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(AReadGoesToTheNextEndpoint, CommandFixture) {
-  // Nobody listens at the first.
+  // No process listens at the first address.
   BOOST_TEST(Audit("127.0.0.1:1," + fleet.Process("kv").address) == 0);
 }
 
--- a/testing/process/fleet_fixture.h
+++ b/testing/process/fleet_fixture.h
@@ -1,7 +1,13 @@
-// Shared by the process tests: a started fleet and the judge.
+// FleetFixture is the fixture of the process tests: a started fleet, and checks
+// of its bills.
 //
-// The judge compares what engines and services wrote down themselves with what
-// was billed. It never reads the routers' own counters.
+//   BOOST_FIXTURE_TEST_CASE(SomeFailure, FleetFixture) {
+//     fleet.Kill("router-1", SIGKILL);
+//     CheckBills();
+//   }
+//
+// The checks compare what the stand-ins of engines and services recorded with
+// what was billed. They never rely on the routers' counters.
 
 #ifndef QUAYTRACK_TESTING_PROCESS_FLEET_FIXTURE_H_
 #define QUAYTRACK_TESTING_PROCESS_FLEET_FIXTURE_H_
@@ -32,16 +38,16 @@
   return out;
 }
 
-// What a caller saw of a stream.
-struct SeenStream {
+// What a caller received of a stream.
+struct ReceivedStream {
   std::string text;
   bool done = false;
   bool error = false;
   bool usage = false;
 };
 
-inline SeenStream ReadStream(const std::string& body) {
-  SeenStream out;
+inline ReceivedStream ReadStream(const std::string& body) {
+  ReceivedStream out;
   std::istringstream in(body);
   for (std::string line; std::getline(in, line);) {
     if (!line.starts_with("data: ")) continue;
@@ -69,7 +75,7 @@
     BOOST_REQUIRE(fleet.Start());
   }
 
-  // Tokens billed, by request.
+  // The tokens of each bill, by request.
   std::map<std::string, std::vector<long long>> BillsByRequest() {
     std::map<std::string, std::vector<long long>> out;
     for (const auto& it : fleet.Bills()) {
@@ -78,17 +84,17 @@
     return out;
   }
 
-  // Whether each request that an engine ran is billed once, at what its answer
-  // took. Of a request that was tried at two engines, one completed it, and the
-  // attempt that was given up is not the customer's to pay.
+  // Whether each request that an engine ran is billed once, for the tokens of
+  // its answer. If a request was tried at two engines, at most one completed
+  // it, and the customer doesn't pay for the abandoned attempt.
   bool EveryExecutionBilledOnce() {
     std::map<std::string, long long> ran;
     std::map<std::string, int> completed;
     for (const auto& it : fleet.Executions("engine")) {
       const std::string request = it["request_id"];
-      const bool whole = it["ended"] == "complete";
-      if (whole && ++completed[request] > 1) return false;
-      if (whole || completed[request] == 0) ran[request] = it["tokens"];
+      const bool complete = it["ended"] == "complete";
+      if (complete && ++completed[request] > 1) return false;
+      if (complete || completed[request] == 0) ran[request] = it["tokens"];
     }
     const auto bills = BillsByRequest();
     for (const auto& [request, tokens] : ran) {
@@ -99,8 +105,9 @@
     return true;
   }
 
-  // Fails with the differences if they don't go away.
-  void JudgeBills() {
+  // Waits until executions and bills agree, and audits the ledger. Fails and
+  // prints both if they don't agree in time.
+  void CheckBills() {
     const bool settled =
         fleet.WaitFor([&] { return EveryExecutionBilledOnce(); });
     BOOST_TEST(settled);
@@ -141,7 +148,7 @@
         .Json();
   }
 
-  // Every router has a witness that the ledger names.
+  // Waits until every router has a witness.
   void AwaitWitnesses() {
     for (int n = 1; n <= fleet.spec().routers; ++n) {
       BOOST_REQUIRE(fleet.WaitFor(
@@ -149,7 +156,7 @@
     }
   }
 
-  // Runs of one key at the services.
+  // How often the services ran calls with this key.
   int ServiceRuns(const std::string& key) {
     int n = 0;
     for (const auto& it : fleet.Executions("service")) {
--- a/testing/process/kv_cut_test.cc
+++ b/testing/process/kv_cut_test.cc
@@ -1,4 +1,5 @@
-// One router is cut off from the key-value service while the others are not.
+// Tests a fleet in which one router is cut off from the key-value service and
+// the others aren't.
 
 #include "testing/process/fleet_fixture.h"
 
@@ -18,16 +19,17 @@
     fleet.Control("kv-proxy-1", "mode?mode=" + mode);
   }
 
-  // Sends `count` chats to a router, one after the other.
+  // Sends `count` chats to a router, one after the other; returns how many
+  // streams were complete.
   int Serve(int router, int count, const std::string& name) {
-    int whole = 0;
+    int complete = 0;
     for (int n = 0; n < count; ++n) {
       const TestReply it = fleet.Call(
           fleet.Router(router),
           RouterFleet::Chat(kLakhon, name + std::to_string(n), 3, true));
-      if (ReadStream(it.body).done) ++whole;
+      if (ReadStream(it.body).done) ++complete;
     }
-    return whole;
+    return complete;
   }
 };
 
@@ -37,7 +39,7 @@
     BOOST_TEST(Serve(1, 15, std::string(mode) + "-a") == 15);
     BOOST_TEST(Serve(2, 15, std::string(mode) + "-b") == 15);
     SetProxy("pass");
-    JudgeBills();
+    CheckBills();
   }
 }
 
@@ -45,7 +47,7 @@
   SetProxy("cut");
   BOOST_TEST(Serve(1, 15, "dies") == 15);
   fleet.Kill("router-1", SIGKILL);
-  JudgeBills();
+  CheckBills();
   BOOST_TEST(fleet.WaitFor([&] {
     const nlohmann::json budget = Budget("lakhon");
     for (const auto& it : budget["grants"].items()) {
@@ -64,7 +66,7 @@
   const TestReply other = fleet.Call(fleet.Router(2), sign);
   BOOST_TEST(other.status == 200);
   SetProxy("pass");
-  // Whatever became of the first router's claim, the call has run once.
+  // Whether or not the first router's claim was written, the call ran once.
   BOOST_TEST(fleet.WaitFor(
       [&] { return fleet.Call(fleet.Router(1), sign).body == other.body; }));
   BOOST_TEST(ServiceRuns("cut-1") == 1);
--- a/testing/process/kv_outage_test.cc
+++ b/testing/process/kv_outage_test.cc
@@ -1,4 +1,4 @@
-// The key-value service is out, slow, hangs, or loses answers.
+// Tests a fleet whose key-value service refuses calls, hangs, or loses answers.
 
 #include "testing/process/fleet_fixture.h"
 
@@ -8,20 +8,21 @@
 struct OutageFixture : FleetFixture {
   OutageFixture() { AwaitWitnesses(); }
 
-  // Sends `count` chats over all routers; returns how many came back whole.
+  // Sends `count` chats over all routers; returns how many streams were
+  // complete.
   int Serve(int count, const std::string& name) {
-    int whole = 0;
+    int complete = 0;
     int ended = 0;
     for (int n = 0; n < count; ++n) {
       fleet.Begin(fleet.Router(n % 3 + 1),
                   RouterFleet::Chat(kLakhon, name + std::to_string(n), 3, true),
                   [&](const TestReply& it) {
                     ++ended;
-                    if (ReadStream(it.body).done) ++whole;
+                    if (ReadStream(it.body).done) ++complete;
                   });
     }
     BOOST_TEST(fleet.WaitFor([&] { return ended == count; }));
-    return whole;
+    return complete;
   }
 };
 
@@ -30,7 +31,7 @@
     fleet.Control("kv", std::string("mode?mode=") + mode);
     BOOST_TEST(Serve(60, mode) == 60);
     fleet.Control("kv", "mode?mode=normal");
-    JudgeBills();
+    CheckBills();
   }
 }
 
@@ -38,11 +39,11 @@
   fleet.Control("kv", "mode?mode=lose");
   BOOST_TEST(Serve(60, "lose") == 60);
   fleet.Control("kv", "mode?mode=normal");
-  JudgeBills();
+  CheckBills();
 }
 
 BOOST_FIXTURE_TEST_CASE(BudgetIsNotPassedThroughAnOutage, OutageFixture) {
-  // Each request may cost 16 + 6 + 10; the budget of 100 carries few.
+  // Each request may cost 16 + 6 + 10; the budget of 100 covers few.
   fleet.Control("kv", "mode?mode=refuse");
   int ended = 0;
   for (int n = 0; n < 60; ++n) {
@@ -65,9 +66,9 @@
   }
   BOOST_TEST(fleet.WaitFor([&] { return ended == 60; }));
   BOOST_TEST(Ran("tiny") <= 100);
-  // What is left couldn't carry one more.
+  // Some requests were served.
   BOOST_TEST(Ran("tiny") > 0);
-  JudgeBills();
+  CheckBills();
 }
 
 BOOST_FIXTURE_TEST_CASE(UnclaimedCallIsRefusedAndNotRun, OutageFixture) {
@@ -80,7 +81,7 @@
   BOOST_TEST(refused.Json()["error"]["code"] == "claims_unavailable");
   BOOST_TEST(ServiceRuns("out-1") == 0);
   fleet.Control("kv", "mode?mode=normal");
-  // The withdrawn claim must not stand in the way of the retry.
+  // The withdrawn claim must not block the retry.
   BOOST_TEST(fleet.WaitFor(
       [&] { return fleet.Call(fleet.Router(2), sign).status == 200; }));
   BOOST_TEST(ServiceRuns("out-1") == 1);
--- a/testing/process/router_death_test.cc
+++ b/testing/process/router_death_test.cc
@@ -1,5 +1,5 @@
-// Routers that die, freeze and come back, with requests in flight. The engines'
-// records say what ran; the bills must say the same, once.
+// Tests routers that are killed, or frozen and resumed, with requests in
+// flight. Each execution that the engines recorded must be billed once.
 
 #include "ledger/record.h"
 #include "testing/process/fleet_fixture.h"
@@ -10,7 +10,7 @@
 struct DeathFixture : FleetFixture {
   DeathFixture() { AwaitWitnesses(); }
 
-  // Starts streams at a router; their answers are counted in `ended`.
+  // Starts streams at a router; `ended` counts their answers.
   void StartStreams(int router, int count, int tokens) {
     for (int n = 0; n < count; ++n) {
       fleet.Begin(fleet.Router(router),
@@ -24,14 +24,14 @@
     BOOST_REQUIRE(fleet.WaitFor([&] {
       std::size_t running = 0;
       for (const auto& it : fleet.Executions("engine")) {
-        const bool begun = it["output_tokens"].get<int>() > 2;
-        if (it["ended"] == "running" && begun) ++running;
+        const bool started = it["output_tokens"].get<int>() > 2;
+        if (it["ended"] == "running" && started) ++running;
       }
       return running >= count;
     }));
   }
 
-  // No incarnation of the VM holds any of the budget.
+  // Waits until no incarnation of the VM has a grant of the budget.
   void AwaitGrantsReturned(const std::string& vm) {
     BOOST_TEST(fleet.WaitFor([&] {
       const nlohmann::json budget = Budget("lakhon");
@@ -50,7 +50,7 @@
   AwaitRunning(5);
   fleet.Kill("router-1", SIGKILL);
   BOOST_TEST(fleet.WaitFor([&] { return ended == 5; }));
-  JudgeBills();
+  CheckBills();
   AwaitGrantsReturned("vm-router-1");
   BOOST_TEST(Budget("lakhon")["settled"].get<long long>() == Ran("lakhon"));
 }
@@ -63,7 +63,7 @@
     BOOST_TEST(ReadStream(it.body).done);
   }
   fleet.Kill("router-1", SIGKILL);
-  JudgeBills();
+  CheckBills();
 }
 
 BOOST_FIXTURE_TEST_CASE(KilledWhileTheKvIsOutIsRecoveredLater, DeathFixture) {
@@ -79,7 +79,7 @@
   fleet.Kill("router-1", SIGKILL);
   BOOST_TEST(fleet.WaitFor([&] { return ended == 3; }));
   fleet.Control("kv", "mode?mode=normal");
-  JudgeBills();
+  CheckBills();
 }
 
 BOOST_FIXTURE_TEST_CASE(FrozenRouterIsNotRobbedAndGoesOn, DeathFixture) {
@@ -87,10 +87,10 @@
   AwaitRunning(3);
   const long long grants = Budget("lakhon")["outstanding"];
   fleet.Kill("router-1", SIGSTOP);
-  // Its lease lapses; the registry of the others shows two routers.
+  // Its lease expires; the other routers then see two routers.
   BOOST_REQUIRE(
       fleet.WaitFor([&] { return Status(2)["routers"].size() == 2; }));
-  // The VM is still listed, so nothing was taken from it.
+  // The VM is still listed, so its grants weren't taken back.
   BOOST_TEST(Budget("lakhon")["outstanding"].get<long long>() >= grants / 2);
   BOOST_TEST(Status(2)["stranded_tokens"] == 0);
   fleet.Kill("router-1", SIGCONT);
@@ -101,17 +101,18 @@
                      RouterFleet::Chat(kLakhon, "back", 2, true))
                .status == 200;
   }));
-  JudgeBills();
+  CheckBills();
 }
 
 BOOST_FIXTURE_TEST_CASE(SuccessorOnTheSameVmProvesTheDeath, DeathFixture) {
   StartStreams(1, 2, 400);
   AwaitRunning(2);
   fleet.Kill("router-1", SIGKILL);
-  // The VM itself stays in the list: only the later registration is proof.
+  // The VM stays in the list, so only the successor's registration proves that
+  // the router is dead.
   fleet.Control("vm-list", "set?name=vm-router-1&state=live");
   BOOST_REQUIRE(fleet.StartRouter(1));
-  JudgeBills();
+  CheckBills();
 }
 
 BOOST_FIXTURE_TEST_CASE(RetryElsewhereWithTheSameKeyIsBilledOnce,
@@ -129,15 +130,15 @@
   BOOST_TEST(Budget("lakhon")["settled"] == 7);
 }
 
-// A budget in a record of its own, of which nothing is granted for long.
+// The name of a budget that shares its record with no other budget.
 std::string SpareName() {
-  std::set<int> taken;
+  std::set<int> used;
   for (const FleetCustomer& it : RouterFleetSpec().customers) {
-    taken.insert(ShardOf(BudgetName(it.name)));
+    used.insert(ShardOf(BudgetName(it.name)));
   }
   for (int n = 0;; ++n) {
     std::string out = "spare-" + std::to_string(n);
-    if (!taken.contains(ShardOf(BudgetName(out)))) return out;
+    if (!used.contains(ShardOf(BudgetName(out)))) return out;
   }
 }
 
@@ -177,14 +178,15 @@
   fleet.Kill(witness, SIGSTOP);
   fleet.Kill("router-1", SIGKILL);
   fleet.Control("kv", "mode?mode=normal");
-  // The other router has looked, and found that it can't know what was spent.
+  // The other router has tried to recover the grants, and found that it can't
+  // know what was spent.
   BOOST_TEST(fleet.WaitFor([&] {
     return Status(other).value("stranded_tokens", 0LL) > 0 ||
            fleet.LogCount("router_recovered") > 0;
   }));
   BOOST_TEST(fleet.LogCount("router_recovered") == 0);
   fleet.Kill(witness, SIGCONT);
-  JudgeBills();
+  CheckBills();
 }
 
 }  // namespace
--- a/testing/process/serve_test.cc
+++ b/testing/process/serve_test.cc
@@ -1,5 +1,5 @@
-// The whole path without failures: what callers are promised, and what they are
-// told when they ask for something wrong.
+// Tests requests from the caller to the target without failures: answers,
+// bills, and the refusal of invalid requests.
 
 #include "testing/process/fleet_fixture.h"
 
@@ -9,23 +9,23 @@
 struct ServeFixture : FleetFixture {};
 
 BOOST_FIXTURE_TEST_CASE(ServesBillsAndRefuses, ServeFixture) {
-  // A stream arrives whole, with its usage, and is billed at what it used.
+  // A stream arrives complete, with its usage, and is billed for it.
   const TestReply stream = fleet.Call(
       fleet.Router(1), RouterFleet::Chat(kLakhon, "hello", 20, true));
   BOOST_TEST(stream.status == 200);
-  const SeenStream seen = ReadStream(stream.body);
-  BOOST_TEST(seen.text == ExpectedText("hello", 20));
-  BOOST_TEST(seen.done);
-  BOOST_TEST(seen.usage);
+  const ReceivedStream received = ReadStream(stream.body);
+  BOOST_TEST(received.text == ExpectedText("hello", 20));
+  BOOST_TEST(received.done);
+  BOOST_TEST(received.usage);
 
-  // So does a plain answer.
+  // So does an answer that isn't streamed.
   const TestReply plain = fleet.Call(
       fleet.Router(2), RouterFleet::Chat(kLakhon, "again", 5, false));
   BOOST_TEST(plain.status == 200);
   BOOST_TEST(plain.Json()["choices"][0]["message"]["content"] ==
              ExpectedText("again", 5));
 
-  // More than the budget is refused before anything runs.
+  // A request that may cost more than the budget is refused and doesn't run.
   const std::size_t runs = EngineRuns();
   const TestReply over =
       fleet.Call(fleet.Router(1), RouterFleet::Chat(kTiny, "hello", 500, true));
@@ -34,7 +34,7 @@
   BOOST_TEST(over.Json()["error"]["code"] == "budget_exhausted");
   BOOST_TEST(EngineRuns() == runs);
 
-  // A top-up makes it possible.
+  // After a top-up, it is served.
   std::string output;
   BOOST_TEST(fleet.Command({"budget", "add", "tiny", "2000",
                             "--kv=" + fleet.Process("kv").address},
@@ -45,11 +45,11 @@
                      RouterFleet::Chat(kTiny, "hello", 500, true))
                .status == 200;
   }));
-  JudgeBills();
+  CheckBills();
 }
 
-// The budget covers one such request at a time, so each must give its hold back
-// before the next can be served.
+// Guards against a hold that stays when a request is refused. The budget covers
+// only one such request at a time, so the next could not be served.
 BOOST_FIXTURE_TEST_CASE(ARefusedRequestGivesItsHoldBack, ServeFixture) {
   const TestRequest chat = RouterFleet::Chat(kTiny, "hello", 30, true);
   const auto set_mode = [&](const std::string& mode) {
@@ -65,11 +65,11 @@
   }
   set_mode("normal");
   BOOST_TEST(fleet.Call(fleet.Router(1), chat).status == 200);
-  JudgeBills();
+  CheckBills();
 }
 
 BOOST_FIXTURE_TEST_CASE(CallThatMustNotRepeatRunsOnce, ServeFixture) {
-  // A retry elsewhere right after the answer finds the answer, every time.
+  // A retry at another router right after the answer gets the same answer.
   for (int n = 0; n < 20; ++n) {
     const TestRequest quick = RouterFleet::Service(
         kLakhon, "/sign", "{}", "quick-" + std::to_string(n));
@@ -94,11 +94,11 @@
   BOOST_TEST(other.status == 422);
   BOOST_TEST(other.Json()["ran"] == "no");
   BOOST_TEST(ServiceRuns("k1") == 1);
-  // Another customer's key of the same name is another call.
-  const TestReply stranger =
+  // The same key of another customer is another call.
+  const TestReply other_customer =
       fleet.Call(fleet.Router(2),
                  RouterFleet::Service(kZellij, "/sign", "{\"a\":1}", "k1"));
-  BOOST_TEST(stranger.status == 200);
+  BOOST_TEST(other_customer.status == 200);
   BOOST_TEST(ServiceRuns("k1") == 2);
   BOOST_TEST(fleet.WaitFor([&] { return fleet.Bills().size() == 22; }));
 }
@@ -108,20 +108,20 @@
   fleet.Control("forms-2", "delay?ms=150");
   int ended = 0;
   int served = 0;
-  int told_to_return = 0;
+  int conflicts = 0;
   for (int n = 0; n < 12; ++n) {
     fleet.Begin(fleet.Router(n % 3 + 1),
                 RouterFleet::Service(kLakhon, "/sign", "{}", "race"),
                 [&](const TestReply& it) {
                   ++ended;
                   if (it.status == 200) ++served;
-                  if (it.status == 409) ++told_to_return;
+                  if (it.status == 409) ++conflicts;
                 });
   }
   BOOST_TEST(fleet.WaitFor([&] { return ended == 12; }));
   BOOST_TEST(ServiceRuns("race") == 1);
   BOOST_TEST(served >= 1);
-  BOOST_TEST(served + told_to_return == 12);
+  BOOST_TEST(served + conflicts == 12);
 }
 
 BOOST_FIXTURE_TEST_CASE(ManyCallersGetTheirOwnWholeAnswers, ServeFixture) {
@@ -131,24 +131,24 @@
   for (int n = 0; n < kCallers; ++n) {
     const std::string prompt = "caller " + std::to_string(n);
     const int tokens = 5 + n % 20;
-    fleet.Begin(fleet.Router(n % 3 + 1),
-                RouterFleet::Chat(n % 2 == 0 ? kLakhon : kZellij, prompt,
-                                  tokens, n % 3 != 0),
-                [&, prompt, tokens](const TestReply& it) {
-                  ++ended;
-                  const std::string wanted = ExpectedText(prompt, tokens);
-                  const SeenStream seen = ReadStream(it.body);
-                  const bool streamed = seen.done && seen.text == wanted;
-                  const auto json = it.Json();
-                  const bool plain =
-                      json.is_object() && json.contains("choices") &&
-                      json["choices"][0]["message"]["content"] == wanted;
-                  if (streamed || plain) ++right;
-                });
+    fleet.Begin(
+        fleet.Router(n % 3 + 1),
+        RouterFleet::Chat(n % 2 == 0 ? kLakhon : kZellij, prompt, tokens,
+                          n % 3 != 0),
+        [&, prompt, tokens](const TestReply& it) {
+          ++ended;
+          const std::string wanted = ExpectedText(prompt, tokens);
+          const ReceivedStream received = ReadStream(it.body);
+          const bool streamed = received.done && received.text == wanted;
+          const auto json = it.Json();
+          const bool plain = json.is_object() && json.contains("choices") &&
+                             json["choices"][0]["message"]["content"] == wanted;
+          if (streamed || plain) ++right;
+        });
   }
   BOOST_TEST(fleet.WaitFor([&] { return ended == kCallers; }));
   BOOST_TEST(right == kCallers);
-  JudgeBills();
+  CheckBills();
 }
 
 struct BadRequest {
--- a/testing/process/slow_caller_test.cc
+++ b/testing/process/slow_caller_test.cc
@@ -1,4 +1,5 @@
-// A caller that doesn't read holds back its own stream, and nothing else.
+// Tests that a caller that doesn't read its stream neither grows the router's
+// memory without bound nor delays other callers.
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -14,14 +15,15 @@
 
 constexpr int kTokenBytes = 64 * 1024;
 constexpr int kTokens = 4000;  // 250 MB
-// The router's buffers for one stream, the sockets', and room for the rest.
-constexpr long kMostKilobytes = 80 * 1024;
+// Covers the router's buffers for one stream, the socket buffers, and the rest
+// of the process.
+constexpr long kMaxKilobytes = 80 * 1024;
 
 struct SlowFixture : FleetFixture {
   SlowFixture() : FleetFixture(LargeTokensSpec(kTokenBytes)) {}
 
   // Sends a request over a socket that is never read.
-  int AskAndDontRead() {
+  int SendWithoutReading() {
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
     const int small = 4096;
     setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
@@ -62,17 +64,18 @@
 };
 
 BOOST_FIXTURE_TEST_CASE(UnreadStreamStaysBoundedAndOthersGoOn, SlowFixture) {
-  const int fd = AskAndDontRead();
-  // The engine has made all of it, far more than the router may keep.
+  const int fd = SendWithoutReading();
+  // The engine has generated the whole answer, far more than the router may
+  // buffer.
   BOOST_REQUIRE(fleet.WaitFor([&] { return OutputOf("complete") == kTokens; }));
-  BOOST_TEST(RouterKilobytes() < kMostKilobytes);
+  BOOST_TEST(RouterKilobytes() < kMaxKilobytes);
   // Another caller is served meanwhile.
   const TestReply other =
       fleet.Call(fleet.Router(1), RouterFleet::Chat(kZellij, "quick", 3, true));
   BOOST_TEST(ReadStream(other.body).done);
-  // The slow one gives up; it is billed once, for what ran.
+  // The slow caller disconnects; its request is billed once, for what ran.
   close(fd);
-  JudgeBills();
+  CheckBills();
 }
 
 }  // namespace
--- a/testing/process/stop_test.cc
+++ b/testing/process/stop_test.cc
@@ -1,5 +1,6 @@
-// Planned stops: nothing in flight is cut while there is time, what is cut then
-// is answered and billed, grants go back, exit code 0.
+// Tests planned stops of a router: requests in flight finish within the drain
+// time, later they are answered with an error and billed, grants are returned,
+// and the exit code is 0.
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -17,7 +18,7 @@
 namespace quaytrack {
 namespace {
 
-// A caller's connection by hand, which is read and kept as a test says.
+// A caller's raw connection, which a test reads and closes when it wants.
 class CallerSocket {
  public:
   explicit CallerSocket(int port) : fd_(socket(AF_INET, SOCK_STREAM, 0)) {
@@ -43,7 +44,7 @@
     send(fd_, text.data(), text.size(), MSG_NOSIGNAL);
   }
 
-  // Reads what has come, up to a piece. False once the connection has ended.
+  // Reads received bytes, up to `kPiece`. False once the connection has ended.
   bool Read() {
     constexpr std::size_t kPiece = 256 * 1024;
     std::string piece(kPiece, '\0');
@@ -53,7 +54,8 @@
     return n > 0;
   }
 
-  // Takes a whole answer that has a length off the front of what was read.
+  // Removes and returns the first complete answer from the bytes read. The
+  // answer must have a Content-Length.
   std::optional<std::string> TakeAnswer() {
     static const std::string kLength = "Content-Length: ";
     const std::size_t head = received.find("\r\n\r\n");
@@ -84,10 +86,11 @@
                   RouterFleet::Chat(kLakhon, prompt, tokens, true),
                   [this, prompt, tokens](const TestReply& it) {
                     ++ended;
-                    const SeenStream seen = ReadStream(it.body);
+                    const ReceivedStream parsed = ReadStream(it.body);
                     const bool right =
-                        seen.done && seen.text == ExpectedText(prompt, tokens);
-                    if (right) ++whole;
+                        parsed.done &&
+                        parsed.text == ExpectedText(prompt, tokens);
+                    if (right) ++complete;
                   });
     }
   }
@@ -101,7 +104,7 @@
 
   int started = 0;
   int ended = 0;
-  int whole = 0;
+  int complete = 0;
 };
 
 BOOST_FIXTURE_TEST_CASE(SigtermCutsNothingAndReturnsGrants, StopFixture) {
@@ -113,12 +116,12 @@
   BOOST_TEST(WIFEXITED(status));
   BOOST_TEST(WEXITSTATUS(status) == 0);
   BOOST_TEST(fleet.WaitFor([&] { return ended == 8; }));
-  BOOST_TEST(whole == 8);
-  JudgeBills();
+  BOOST_TEST(complete == 8);
+  CheckBills();
   std::string ledger;
   fleet.Command({"budget", "show", "--kv=" + fleet.Process("kv").address},
                 &ledger);
-  // The two that stay hold an eighth each.
+  // The two routers that stay have grants of an eighth each.
   BOOST_TEST(Budget("lakhon")["outstanding"].get<long long>() <= 500000);
 }
 
@@ -126,7 +129,7 @@
   for (int round = 1; round <= 3; ++round) {
     for (int n = 1; n <= 3; ++n) StartStreams(n, 4, 60);
     fleet.Kill(Fleet::RouterName(round), SIGTERM);
-    // The balancer sends to the others from here on.
+    // From here on, the balancer sends requests to the other routers.
     const int next = round % 3 + 1;
     BOOST_TEST(fleet.WaitFor([&] { return !Ready(round); }));
     StartStreams(next, 4, 60);
@@ -136,8 +139,8 @@
     BOOST_REQUIRE(fleet.WaitFor([&] { return Ready(round); }));
   }
   BOOST_TEST(fleet.WaitFor([&] { return ended == started; }));
-  BOOST_TEST(whole == started);
-  JudgeBills();
+  BOOST_TEST(complete == started);
+  CheckBills();
 }
 
 BOOST_FIXTURE_TEST_CASE(DrainCommandStopsARouter, StopFixture) {
@@ -149,11 +152,11 @@
   BOOST_TEST(WEXITSTATUS(status) == 0);
 }
 
-// What four callers of a router see whose time for requests ends. Nothing else
-// would tell them, or bill them: there is no other router.
+// Four callers of a router whose drain time ends while it serves them. There is
+// no other router that could answer or bill their requests.
 struct CutFixture : FleetFixture {
   static constexpr int kSlots = 2;
-  // At a token each 10 ms, far longer than the stop.
+  // At 10 ms for each token, these take far longer than the stop.
   static constexpr int kManyTokens = 4000;
 
   static RouterFleetSpec OneBusyRouter() {
@@ -168,17 +171,17 @@
 
   CutFixture() : FleetFixture(OneBusyRouter()) {
     fleet.Control("forms-1", "mode?mode=hang");
-    Ask(stream, RouterFleet::Chat(kLakhon, "stream", kManyTokens, true));
-    Ask(answer, RouterFleet::Chat(kLakhon, "answer", kManyTokens, false));
+    StartCall(stream, RouterFleet::Chat(kLakhon, "stream", kManyTokens, true));
+    StartCall(answer, RouterFleet::Chat(kLakhon, "answer", kManyTokens, false));
     BOOST_REQUIRE(fleet.WaitFor([&] { return EngineRuns() == kSlots; }));
-    Ask(queued, RouterFleet::Chat(kLakhon, "queued", 1, false));
-    Ask(signing, RouterFleet::Service(kLakhon, "/sign", "{}", "key-1"));
+    StartCall(queued, RouterFleet::Chat(kLakhon, "queued", 1, false));
+    StartCall(signing, RouterFleet::Service(kLakhon, "/sign", "{}", "key-1"));
     BOOST_REQUIRE(fleet.WaitFor([&] {
       return Status(1)["requests"] == 4 && ServiceRuns("key-1") == 1;
     }));
   }
 
-  void Ask(std::optional<TestReply>& out, const TestRequest& request) {
+  void StartCall(std::optional<TestReply>& out, const TestRequest& request) {
     fleet.Begin(fleet.Router(1), request,
                 [&out](const TestReply& it) { out = it; });
   }
@@ -192,8 +195,9 @@
         fleet.WaitFor([&] { return stream && answer && queued && signing; }));
   }
 
-  // Whether the answer is a refusal that says so of the request's run.
-  static bool Says(const TestReply& reply, int status, const std::string& ran) {
+  // Whether the reply is a refusal with this status and value of "ran".
+  static bool IsRefusal(const TestReply& reply, int status,
+                        const std::string& ran) {
     const auto json = reply.Json();
     return reply.status == status && json.is_object() &&
            json.value("ran", "") == ran;
@@ -205,32 +209,32 @@
   std::optional<TestReply> signing;
 };
 
-// What goes wrong: when `--drain-ms` is over, requests in flight go on for the
-// 3 s that are left for grants; none is ended, and their holds keep the grants
-// from going back. The process then exits under them: their connections break
-// without an answer, also that of a request that never ran, and nobody bills
-// what the engine has made. Proved by this test: the callers, the engine's book
-// and the ledger are compared.
+// Guards against requests that aren't ended when `--drain-ms` is over. They
+// went on for the 3 s left for returning grants, and their holds kept the
+// grants from being returned. When the process then exited, their connections
+// broke without an answer, even for a request that never ran, and what the
+// engine had generated wasn't billed.
 BOOST_FIXTURE_TEST_CASE(TheEndOfTheTimeAnswersAndBillsEachRequest, CutFixture) {
   StopAndAwaitAnswers();
-  BOOST_TEST(Says(*queued, 503, "no"));
-  BOOST_TEST(Says(*answer, 502, "unknown"));
-  BOOST_TEST(Says(*signing, 502, "unknown"));
-  // Cut after it began: an error as its last event, and no end.
-  const SeenStream seen = ReadStream(stream->body);
+  BOOST_TEST(IsRefusal(*queued, 503, "no"));
+  BOOST_TEST(IsRefusal(*answer, 502, "unknown"));
+  BOOST_TEST(IsRefusal(*signing, 502, "unknown"));
+  // The stream had started, so its last event is an error, and [DONE] is
+  // missing.
+  const ReceivedStream parsed = ReadStream(stream->body);
   BOOST_TEST((stream->end == HttpEnd::kComplete));
-  BOOST_TEST(seen.error);
-  BOOST_TEST(!seen.done);
+  BOOST_TEST(parsed.error);
+  BOOST_TEST(!parsed.done);
   for (const auto& it : fleet.Executions("engine")) {
     const std::string id = it["request_id"];
     BOOST_TEST(fleet.LogCount("drain_timed_out request=" + id) == 1);
   }
-  JudgeBills();
+  CheckBills();
   BOOST_TEST(fleet.Bills().size() == 3U);
   BOOST_TEST(Budget("lakhon")["outstanding"] == 0);
 }
 
-// An answer that is far larger than what the sockets keep.
+// An answer that is far larger than the socket buffers.
 struct LargeAnswerFixture : FleetFixture {
   static constexpr int kTokenBytes = 64 * 1024;
   static constexpr int kTokens = 400;  // 26 MB
@@ -238,15 +242,14 @@
   LargeAnswerFixture() : FleetFixture(LargeTokensSpec(kTokenBytes)) {}
 };
 
-// What goes wrong: a request counts as ended when its answer is in the buffer
-// of its connection, so a router whose last caller still takes its answer exits
-// 50 ms after its grants went back, and cuts it, with nearly all of
-// `--drain-ms` left. Proved by this test: the caller goes on reading, 256 KB
-// every 10 ms, and finds the connection closed in the middle.
+// Guards against an exit while a caller still reads its answer. A request
+// counts as ended once its answer is in the connection's buffer, so the router
+// exited 50 ms after its grants were returned, with nearly all of `--drain-ms`
+// left, and cut the answer. The caller here reads 256 KB every 10 ms.
 BOOST_FIXTURE_TEST_CASE(AnAnswerThatIsBeingTakenIsNotCut, LargeAnswerFixture) {
   CallerSocket caller(fleet.port("router-1"));
   caller.Send(RouterFleet::Chat(kLakhon, "large", kTokens, false));
-  // The router has all of it, and the request has ended.
+  // The router has the complete answer, and the request has ended.
   BOOST_REQUIRE(fleet.WaitFor([&] {
     const auto runs = fleet.Executions("engine");
     return runs.size() == 1 && runs[0]["ended"] == "complete" &&
@@ -266,12 +269,12 @@
   BOOST_TEST(fleet.LogCount("drain_timed_out") == 0);
 }
 
-// What goes wrong: a stopping router never tells a caller to leave its
-// connection, so one that keeps it (a balancer does) sends request after
-// request on it until the process exits under the last, which is neither served
-// nor refused. Proved by these tests: the first caller asks again after each
-// answer and isn't told to stop; the second's stream ends and its connection
-// stays.
+// This and the next case guard against a stopping router that keeps callers'
+// connections open. A caller that reuses its connection (as a balancer does)
+// then sent request after request on it until the process exited, so that the
+// last one was neither served nor refused. Here the first caller sends a
+// request after each answer until it gets "Connection: close"; the second has a
+// stream, and its connection must end with it.
 BOOST_FIXTURE_TEST_CASE(AKeptConnectionIsEndedByItsNextAnswer, StopFixture) {
   TestRequest ask;
   ask.path = "/v1/models";
@@ -284,20 +287,20 @@
   BOOST_REQUIRE(fleet.WaitFor([&] { return !Ready(1); }));
   caller.Send(ask);
   int unanswered = 1;
-  bool told = false;
+  bool closing = false;
   BOOST_TEST(fleet.WaitFor([&] {
     const bool open = caller.Read();
     if (const auto answer = caller.TakeAnswer()) {
       --unanswered;
-      told = answer->find("Connection: close\r\n") != std::string::npos;
-      if (!told) {
+      closing = answer->find("Connection: close\r\n") != std::string::npos;
+      if (!closing) {
         ++unanswered;
         caller.Send(ask);
       }
     }
-    return told || !open;
+    return closing || !open;
   }));
-  BOOST_TEST(told);
+  BOOST_TEST(closing);
   BOOST_TEST(unanswered == 0);
   BOOST_TEST(fleet.WaitFor([&] { return !caller.Read(); }));
 }
@@ -320,24 +323,24 @@
   BOOST_TEST(longer.received.ends_with(kEnd));
 }
 
-// The bill of a request that is cut can't be written, and isn't given up.
+// The bill of a request that is cut can't be written, and the router doesn't
+// give up writing it during the test.
 struct NoBillFixture : FleetFixture {
-  static RouterFleetSpec PatientRouter() {
+  static RouterFleetSpec LongBillTimeout() {
     RouterFleetSpec out;
     out.routers = 1;
     out.router_flags = {"--drain-ms=300", "--bill-patience-ms=60000"};
     return out;
   }
 
-  NoBillFixture() : FleetFixture(PatientRouter()) {}
+  NoBillFixture() : FleetFixture(LongBillTimeout()) {}
 };
 
-// What goes wrong: a process that exits with a request in flight dies by
-// SIGABRT and not with 0. The server frees the request with its connection, and
-// the exchange then answers it all the same. Proved by this test: the wait
-// status, and the log's last line, libevent's "Assertion
-// TAILQ_FIRST(&evcon->requests)
-// == req failed in evhttp_send".
+// Guards against a crash at exit with a request in flight: the process ended by
+// SIGABRT and not with 0. The server freed the request with its connection, and
+// the exchange answered it afterwards, so that libevent's "Assertion
+// TAILQ_FIRST(&evcon->requests) == req failed in evhttp_send" ended the
+// process.
 BOOST_FIXTURE_TEST_CASE(ARequestInFlightAtTheExitIsNoCrash, NoBillFixture) {
   fleet.Begin(fleet.Router(1), RouterFleet::Chat(kLakhon, "long", 4000, false),
               [](const TestReply&) {});
--- a/testing/process/target_test.cc
+++ b/testing/process/target_test.cc
@@ -1,5 +1,5 @@
-// Targets that leave, fail, hang or break their streams; callers that leave or
-// read slowly.
+// Tests targets that leave, fail, hang or break their streams, and callers that
+// disconnect.
 
 #include "testing/process/fleet_fixture.h"
 
@@ -19,8 +19,8 @@
     return n;
   }
 
-  // Requests that engines have run. One that was given up at an engine that
-  // didn't answer polls, and moved, has a run at each of them.
+  // The number of requests that engines have run. A request that moved away
+  // from an engine that didn't answer polls has a run at both engines.
   std::size_t RequestsRun() {
     std::set<std::string> out;
     for (const auto& it : fleet.Executions("engine")) {
@@ -29,7 +29,7 @@
     return out.size();
   }
 
-  // Begins `count` streams, over all routers.
+  // Starts `count` streams, over all routers.
   void BeginStreams(int count) {
     for (int n = 0; n < count; ++n) {
       fleet.Begin(
@@ -37,23 +37,23 @@
           RouterFleet::Chat(kLakhon, "s" + std::to_string(n), 100, true),
           [this](const TestReply& it) {
             ++streams_ended;
-            if (ReadStream(it.body).done) ++streams_whole;
+            if (ReadStream(it.body).done) ++streams_complete;
           });
     }
   }
 
   int Serve(int count, const std::string& name) {
-    int whole = 0;
+    int complete = 0;
     for (int n = 0; n < count; ++n) {
       const TestReply it = fleet.Call(
           fleet.Router(n % 3 + 1),
           RouterFleet::Chat(kLakhon, name + std::to_string(n), 2, true));
-      if (ReadStream(it.body).done) ++whole;
+      if (ReadStream(it.body).done) ++complete;
     }
-    return whole;
+    return complete;
   }
 
-  // No router would choose the target.
+  // Waits until every router lists the target as leaving.
   void AwaitLeaving(const std::string& target) {
     for (int n = 1; n <= 3; ++n) {
       BOOST_REQUIRE(fleet.WaitFor([&] {
@@ -66,9 +66,9 @@
     }
   }
 
-  // Of those that BeginStreams began.
+  // Counts the streams of `BeginStreams`.
   int streams_ended = 0;
-  int streams_whole = 0;
+  int streams_complete = 0;
 };
 
 BOOST_FIXTURE_TEST_CASE(LeavingTargetGetsNoNewWork, TargetFixture) {
@@ -82,40 +82,40 @@
       {"engine-2", "engine-2", "leaving"},
   };
   for (const Way& it : ways) {
-    // A stream that runs there when it begins to leave ends whole.
+    // Once a target leaves, requests run only at the others.
     fleet.Control(it.process, it.control);
     AwaitLeaving(it.engine);
     const int before = RunsAt(it.engine);
     BOOST_TEST(Serve(30, it.engine) == 30);
     BOOST_TEST(RunsAt(it.engine) == before);
   }
-  JudgeBills();
+  CheckBills();
 }
 
 BOOST_FIXTURE_TEST_CASE(LeavingByBundleLetsStreamsFinish, TargetFixture) {
   BeginStreams(12);
   const bool all_run = fleet.WaitFor([&] { return RequestsRun() == 12; });
-  BOOST_REQUIRE_MESSAGE(all_run, "requests run " << RequestsRun() << ", runs "
-                                                 << EngineRuns() << ", ended "
-                                                 << streams_ended << ", whole "
-                                                 << streams_whole);
+  BOOST_REQUIRE_MESSAGE(
+      all_run, "requests run " << RequestsRun() << ", runs " << EngineRuns()
+                               << ", ended " << streams_ended << ", complete "
+                               << streams_complete);
   fleet.Control("vm-list", "set?name=vm-engine-3&state=leaving");
   AwaitLeaving("engine-3");
   BOOST_TEST(fleet.WaitFor([&] { return streams_ended == 12; }));
-  BOOST_TEST(streams_whole == 12);
-  JudgeBills();
+  BOOST_TEST(streams_complete == 12);
+  CheckBills();
 }
 
 BOOST_FIXTURE_TEST_CASE(StreamsThatMovedCountOnce, TargetFixture) {
   fleet.Kill("engine-2", SIGSTOP);
   BeginStreams(12);
   BOOST_TEST(fleet.WaitFor([&] { return streams_ended == 12; }));
-  BOOST_TEST(streams_whole == 12);
-  // It finds the requests that were given up there.
+  BOOST_TEST(streams_complete == 12);
+  // It now reads the requests that were given up there.
   fleet.Kill("engine-2", SIGCONT);
   BOOST_TEST(fleet.WaitFor([&] { return EngineRuns() > 12; }));
   BOOST_TEST(RequestsRun() == 12U);
-  JudgeBills();
+  CheckBills();
 }
 
 BOOST_FIXTURE_TEST_CASE(DeadEngineIsRoutedAround, TargetFixture) {
@@ -126,27 +126,27 @@
 BOOST_FIXTURE_TEST_CASE(FrozenEngineIsRoutedAround, TargetFixture) {
   fleet.Kill("engine-2", SIGSTOP);
   int ended = 0;
-  int whole = 0;
+  int complete = 0;
   for (int n = 0; n < 30; ++n) {
     fleet.Begin(
         fleet.Router(n % 3 + 1),
         RouterFleet::Chat(kLakhon, "frozen" + std::to_string(n), 2, true),
         [&](const TestReply& it) {
           ++ended;
-          if (ReadStream(it.body).done) ++whole;
+          if (ReadStream(it.body).done) ++complete;
         });
   }
-  // Long before the attempts themselves would time out (30 s).
+  // Long before the attempts would time out (30 s).
   BOOST_TEST(fleet.WaitFor([&] { return ended == 30; }, seconds(15)));
-  BOOST_TEST(whole == 30);
+  BOOST_TEST(complete == 30);
   fleet.Kill("engine-2", SIGCONT);
-  JudgeBills();
+  CheckBills();
 }
 
 BOOST_FIXTURE_TEST_CASE(RefusingEngineIsRoutedAround, TargetFixture) {
   fleet.Control("engine-1", "mode?mode=refuse");
   BOOST_TEST(Serve(40, "full") == 40);
-  JudgeBills();
+  CheckBills();
 }
 
 BOOST_FIXTURE_TEST_CASE(BrokenStreamIsSaidToBeBroken, TargetFixture) {
@@ -155,10 +155,10 @@
   }
   const TestReply it =
       fleet.Call(fleet.Router(1), RouterFleet::Chat(kLakhon, "cut", 50, true));
-  const SeenStream seen = ReadStream(it.body);
-  BOOST_TEST(!seen.done);
-  BOOST_TEST(seen.error);
-  BOOST_TEST(seen.text == ExpectedText("cut", 5));
+  const ReceivedStream received = ReadStream(it.body);
+  BOOST_TEST(!received.done);
+  BOOST_TEST(received.error);
+  BOOST_TEST(received.text == ExpectedText("cut", 5));
   BOOST_TEST(it.body.find("\"ran\":\"unknown\"") != std::string::npos);
 }
 
@@ -174,7 +174,7 @@
   call->Cancel();
   BOOST_REQUIRE(fleet.WaitFor(
       [&] { return fleet.Executions("engine")[0]["ended"] == "cancelled"; }));
-  JudgeBills();
+  CheckBills();
   BOOST_TEST(fleet.WaitFor([&] { return Status(1)["requests"] == 0; }));
 }
 
@@ -189,7 +189,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(HopelessDeadlineIsRefusedAtOnce, TargetFixture) {
-  // Every slot is taken for longer than the deadline.
+  // Every slot is in use for longer than the deadline.
   int ended = 0;
   for (int n = 0; n < 150; ++n) {
     fleet.Begin(
--- a/testing/router_fleet.h
+++ b/testing/router_fleet.h
@@ -1,5 +1,5 @@
-// A fleet of `quaytrack router`: its key-value service, VM list, engines and
-// services as stand-ins, and routers with a signed bundle in force.
+// RouterFleet runs routers (`quaytrack router`) with a signed bundle in force,
+// and stand-ins for the key-value service, the VM list, engines and services.
 //
 //   RouterFleetSpec spec;
 //   spec.routers = 3;
@@ -9,9 +9,8 @@
 //   fleet.Control("kv", "mode?mode=hang");
 //
 // Processes are named "kv", "vm-list", "engine-N", "forms-N" and "router-N";
-// with proxies also "kv-proxy-N" and "engine-N-proxy". It owns the two
-// operators' keys, and relies on testing/fleet.h for all that is done with
-// processes.
+// with proxies also "kv-proxy-N" and "engine-N-proxy". RouterFleet owns the
+// keys of two operators, and relies on testing/fleet.h to run processes.
 
 #ifndef QUAYTRACK_TESTING_ROUTER_FLEET_H_
 #define QUAYTRACK_TESTING_ROUTER_FLEET_H_
@@ -29,7 +28,7 @@
   std::string name;
   std::string key;
   long long budget_tokens = 0;
-  // Fields added to the budget's line, "cover=60s standing=8".
+  // Fields added to the budget's line, such as "cover=60s standing=8".
   std::string budget_fields;
 };
 
@@ -52,12 +51,12 @@
       {"tiny", "key-tiny", 100, "cover=20s standing=4"},
   };
   std::vector<std::string> router_flags;
-  // Where the processes' logs go; empty for a new folder under /tmp.
+  // The folder for the processes' logs; if empty, a new one under /tmp.
   std::string directory;
 };
 
-// One router before one engine whose tokens are so large that an answer of some
-// hundred is far larger than what the sockets keep.
+// One router and one engine with tokens so large that an answer of some hundred
+// tokens is far larger than the socket buffers.
 inline RouterFleetSpec LargeTokensSpec(int token_bytes) {
   RouterFleetSpec out;
   out.routers = 1;
@@ -72,20 +71,21 @@
  public:
   explicit RouterFleet(RouterFleetSpec spec);
 
-  // Starts everything; false if a process didn't come up.
+  // Starts all processes; false if one didn't become ready.
   bool Start();
   bool StartRouter(int n);
 
   nlohmann::json Bills();
   nlohmann::json Budgets();
 
-  // Text of the bundle, and putting it in force.
+  // The text of the bundle with `more` lines at its end. `ApplyBundle` signs
+  // and applies it, and returns the command's exit code.
   std::string BundleText(int version, const std::string& more = "");
   int ApplyBundle(int version, const std::string& more = "");
   std::string ReadyJson() const;
   const RouterFleetSpec& spec() const { return spec_; }
 
-  // A chat request of a customer, to a router.
+  // A customer's chat request.
   static TestRequest Chat(const std::string& key, const std::string& text,
                           int max_tokens, bool stream);
   static TestRequest Service(const std::string& key, const std::string& path,
@@ -93,7 +93,7 @@
                              const std::string& idempotency_key);
 
  private:
-  // What a command lists as JSON; says why if it lists nothing.
+  // The JSON output of a command; prints an error if the command fails.
   nlohmann::json List(std::vector<std::string> command);
   bool StartStandins();
   std::string TargetAddress(const std::string& name);
--- a/testing/run_for.h
+++ b/testing/run_for.h
@@ -1,12 +1,11 @@
-// Runs a loop for a while, in tests whose whole world is on that one loop.
+// RunFor runs a loop for a while, in tests that have all objects on that loop.
 //
 //   RunFor(loop, std::chrono::milliseconds(50));
 //
-// The time is given in short turns, and the loop turns at least `kTurns` times
-// however busy the machine is: a test that needs some turns of the loop gets
-// them, and doesn't depend on how long they take. On a machine that isn't busy
-// it ends within a turn of the time, so that steps at set times can be told
-// apart.
+// It runs the loop in short turns, at least `kTurns` of them. So a test that
+// needs some turns of the loop gets them even on a busy machine, however long
+// they take. On an idle machine it ends within one turn of the given time, so
+// that tests can tell steps at different times apart.
 
 #ifndef QUAYTRACK_TESTING_RUN_FOR_H_
 #define QUAYTRACK_TESTING_RUN_FOR_H_
--- a/testing/service_standin.cc
+++ b/testing/service_standin.cc
@@ -1,4 +1,5 @@
-// A stand-in for a plain service that writes down every call it runs.
+// A stand-in for a service that isn't a model engine. It records every call
+// that it runs.
 
 #include <memory>
 #include <nlohmann/json.hpp>
@@ -63,7 +64,7 @@
     it->started_ms = standin_.clock().WallNow().time_since_epoch().count();
     executions_.push_back(it);
     if (mode_ == Mode::kHang) {
-      held_.push_back(exchange);
+      unanswered_.push_back(exchange);
       return;
     }
     if (delay_ms_ == 0) return Finish(exchange, it);
@@ -102,7 +103,7 @@
   std::string name_;
   Standin standin_;
   std::vector<std::shared_ptr<Execution>> executions_;
-  std::vector<ExchangePtr> held_;
+  std::vector<ExchangePtr> unanswered_;
   Mode mode_ = Mode::kNormal;
   int delay_ms_ = 0;
 };
--- a/testing/standin.h
+++ b/testing/standin.h
@@ -1,9 +1,8 @@
-// What all stand-ins share: one loop, one HTTP server on two addresses (its
-// service and its controls), and the line that says where they are.
+// The base of all stand-ins: one loop, one HTTP server on two addresses (for
+// the service and for controls), and the line that prints these addresses.
 //
-// A stand-in takes the place of a platform service or a target in tests and
-// demos. It speaks the published protocol, keeps its own book of what it did,
-// and can be told to misbehave:
+// A stand-in replaces a platform service or a target in tests and demos. It
+// speaks the published protocol, records what it did, and fails on command:
 //
 //   POST /control/<what>?name=value&...
 
@@ -47,12 +46,12 @@
   Instant Now() const { return clock_.Now(); }
   const Clock& clock() const { return clock_; }
 
-  // Handlers of exact paths come first, then those of prefixes.
+  // Handlers of exact paths take precedence over those of prefixes.
   void OnPath(const std::string& path, Handler handler);
   void OnPrefix(const std::string& prefix, Handler handler);
-  // Does something once, `ms` milliseconds from now.
+  // Runs `action` once, after `ms` milliseconds.
   void Later(int ms, std::function<void()> action);
-  // A control, "/control/<what>": `action` is done, and answered with "{}".
+  // Adds a control, "/control/<what>", which runs `action` and answers "{}".
   void OnControl(const std::string& what, const Control& action);
 
   // Binds both addresses, prints them, and serves until SIGTERM.
@@ -69,7 +68,8 @@
   std::list<std::unique_ptr<Timer>> later_;
 };
 
-// Sets `mode` to the entry that the query's "mode" names; false if none is.
+// Sets `mode` to the value that the query's "mode" names; false if the table
+// has no such name.
 template <class Table, class Mode>
 bool SetMode(const Params& params, const Table& table, Mode& mode) {
   const std::string name = params.Text("mode");
--- a/testing/standins.h
+++ b/testing/standins.h
@@ -1,5 +1,5 @@
-// The stand-ins, one function each; every one serves until SIGTERM and returns
-// the process's exit code. testing/standins_main.cc makes them commands.
+// The stand-ins, one function each. Each serves until SIGTERM and returns the
+// process's exit code. testing/standins_main.cc has a command for each.
 
 #ifndef QUAYTRACK_TESTING_STANDINS_H_
 #define QUAYTRACK_TESTING_STANDINS_H_
@@ -14,10 +14,10 @@
   std::string admin = "127.0.0.1:0";
 };
 
-// The key-value service, by the etcd v3 JSON gateway.
+// The key-value service, with the etcd v3 JSON gateway's interface.
 // Controls: /control/mode?mode=normal|refuse|hang|lose|slow&ms=N
 //           /control/stats
-// It refuses writes and reads beyond these rates (429).
+// It refuses writes and reads above these rates with status 429.
 struct KvLimits {
   int writes_per_second = 400;
   int reads_per_second = 2000;
@@ -30,7 +30,7 @@
   int step_ms = 10;
   double prefill_us_per_token = 50;
   int cache_prefixes = 64;
-  // Each token is padded to this many bytes.
+  // Each token is padded to this number of bytes.
   int token_bytes = 0;
 };
 
@@ -39,13 +39,13 @@
 //           /control/leaving
 int RunEngineStandin(const StandinFlags& flags, const EngineFlags& engine);
 
-// A plain service. Records: /executions.
+// A service that isn't a model engine. Records: /executions.
 // Controls: /control/mode?mode=normal|refuse|lose|hang, /control/delay?ms=N
 int RunServiceStandin(const StandinFlags& flags, const std::string& name);
 
 // The VM list. Controls: /control/set?name=N&state=live|leaving,
-// /control/remove?name=N, /control/watch?name=N&pid=P (dropped once the process
-// is gone), /control/mode?mode=normal|hang
+// /control/remove?name=N, /control/watch?name=N&pid=P (the VM is removed once
+// the process has ended), /control/mode?mode=normal|hang
 int RunVmListStandin(const StandinFlags& flags, int lag_ms);
 
 // A TCP proxy that breaks connections on command.
--- a/testing/standins_main.cc
+++ b/testing/standins_main.cc
@@ -1,5 +1,5 @@
-// All stand-ins as commands of one program: those of the interface of
-// `quaytrack router` first, then the platform's.
+// All stand-ins as commands of one program: first those that `quaytrack router`
+// calls, then those of the platform's interface.
 
 #include <CLI/CLI.hpp>
 
--- a/testing/test_main.cc
+++ b/testing/test_main.cc
@@ -1,4 +1,4 @@
-// The one main() of all test programs.
+// main() of all test programs.
 
 #define BOOST_TEST_MODULE quaytrack
 #include <boost/test/unit_test.hpp>
--- a/testing/vm_list_standin.cc
+++ b/testing/vm_list_standin.cc
@@ -1,4 +1,4 @@
-// A stand-in for the platform's VM list. Changes show after a lag.
+// A stand-in for the platform's VM list. Changes appear after a lag.
 
 #include <csignal>
 #include <map>
@@ -22,17 +22,18 @@
   explicit VmListStandin(int lag_ms) : lag_(std::chrono::milliseconds(lag_ms)) {
     standin_.OnPath("/vms", [this](const ExchangePtr& it) { List(it); });
     standin_.OnControl("set", [this](const Params& it) {
-      Later(it.Text("name"), it.Text("state"));
+      ChangeAfterLag(it.Text("name"), it.Text("state"));
+    });
+    standin_.OnControl("remove", [this](const Params& it) {
+      ChangeAfterLag(it.Text("name"), "");
     });
-    standin_.OnControl(
-        "remove", [this](const Params& it) { Later(it.Text("name"), ""); });
     standin_.OnControl("watch", [this](const Params& it) {
       watched_[it.Text("name")] = it.Number("pid", 0);
-      shown_[it.Text("name")] = "live";
+      visible_[it.Text("name")] = "live";
     });
     standin_.OnControl("mode", [this](const Params& it) {
       hang_ = it.Text("mode") == "hang";
-      if (!hang_) held_.clear();
+      if (!hang_) unanswered_.clear();
     });
     timer_ = standin_.loop().Every(kCheckEvery, [this] { Check(); });
   }
@@ -43,32 +44,32 @@
 
  private:
   struct Change {
-    Instant shows_at{};
+    Instant visible_at{};
     std::string name;
-    std::string state;  // empty: gone
+    std::string state;  // empty if the VM is removed
   };
 
-  void Later(const std::string& name, const std::string& state) {
+  void ChangeAfterLag(const std::string& name, const std::string& state) {
     changes_.push_back({standin_.Now() + lag_, name, state});
   }
 
-  // The platform notices that a VM's process is gone, and the lag has passed.
+  // Removes VMs whose process has ended, and applies changes after the lag.
   void Check() {
     for (auto it = watched_.begin(); it != watched_.end();) {
       if (kill(it->second, 0) == 0) {
         ++it;
         continue;
       }
-      Later(it->first, "");
+      ChangeAfterLag(it->first, "");
       it = watched_.erase(it);
     }
     const Instant now = standin_.Now();
     std::erase_if(changes_, [&](const Change& it) {
-      if (it.shows_at > now) return false;
+      if (it.visible_at > now) return false;
       if (it.state.empty()) {
-        shown_.erase(it.name);
+        visible_.erase(it.name);
       } else {
-        shown_[it.name] = it.state;
+        visible_[it.name] = it.state;
       }
       return true;
     });
@@ -76,11 +77,11 @@
 
   void List(const ExchangePtr& exchange) {
     if (hang_) {
-      held_.push_back(exchange);
+      unanswered_.push_back(exchange);
       return;
     }
     Json vms = Json::array();
-    for (const auto& [name, state] : shown_) {
+    for (const auto& [name, state] : visible_) {
       vms.push_back({{"name", name}, {"state", state}});
     }
     ReplyJson(exchange, Json{{"vms", vms}}.dump());
@@ -88,10 +89,10 @@
 
   Standin standin_;
   Duration lag_;
-  std::map<std::string, std::string> shown_;
+  std::map<std::string, std::string> visible_;
   std::map<std::string, int> watched_;
   std::vector<Change> changes_;
-  std::vector<ExchangePtr> held_;
+  std::vector<ExchangePtr> unanswered_;
   bool hang_ = false;
   std::unique_ptr<Timer> timer_;
 };
