--- a/examples/claim_example.cc
+++ b/examples/claim_example.cc
@@ -1,5 +1,5 @@
-// Two senders get the same call with the same key; only one sends it, and the
-// other gets the first one's answer.
+// Two routers receive the same call with the same idempotency key. Only one of
+// them sends it, and the other replays the stored answer.
 
 #include <cstdio>
 #include <map>
@@ -10,10 +10,11 @@
 
 using namespace quaytrack;  // NOLINT: an example reads better without prefixes
 
-// Any store with compare-and-swap will do; this one is a map.
+// The library works with any store that has compare-and-swap; this one is a
+// map.
 class Store {
  public:
-  void Perform(ClaimBook& book, Instant now, const ClaimCommit& commit) {
+  void Perform(ClaimBook& claims, Instant now, const ClaimCommit& commit) {
     std::vector<FoundClaim> present;
     bool ok = true;
     for (const ClaimWrite& it : commit.writes) {
@@ -23,13 +24,13 @@
       ok = ok && present.back().revision == (create ? 0 : it.revision);
     }
     if (!ok) {
-      return book.OnCommit(now, ClaimOutcome::kRejected, revision_, present);
+      return claims.OnCommit(now, ClaimOutcome::kRejected, revision_, present);
     }
     ++revision_;
     for (const ClaimWrite& it : commit.writes) {
       data_[it.key] = {true, revision_, it.entry};
     }
-    book.OnCommit(now, ClaimOutcome::kApplied, revision_, present);
+    claims.OnCommit(now, ClaimOutcome::kApplied, revision_, present);
   }
 
  private:
@@ -64,7 +65,7 @@
         b.Begin(now, key, "digest of the call", RequestId("b-2"), 0);
     if (again.kind == ClaimAnswerKind::kReplay) {
       ++replayed;
-      std::printf("b gives the kept answer: %s\n",
+      std::printf("b replays the stored answer: %s\n",
                   again.entry.answer.body.c_str());
       break;
     }
--- a/examples/ledger_example.cc
+++ b/examples/ledger_example.cc
@@ -1,6 +1,7 @@
-// Two spenders share one prepaid budget, without a server: the ledger library
-// with a store of a few lines. Shows that the second can't spend what the first
-// holds, gets it once it is given back, and that nothing is ever overspent.
+// Two holders share one prepaid budget, without a server: the ledger library is
+// used with a minimal store. The second holder can't spend what is granted to
+// the first, gets tokens once they are returned, and the limit is never
+// exceeded.
 
 #include <cstdio>
 #include <map>
@@ -11,7 +12,8 @@
 
 using namespace quaytrack;  // NOLINT: an example reads better without prefixes
 
-// Any store with compare-and-swap will do; this one is a map.
+// The library works with any store that has compare-and-swap; this one is a
+// map.
 class Store {
  public:
   std::vector<ShardState> Read(const std::vector<int>& shards) const {
@@ -43,7 +45,7 @@
   std::int64_t revision_ = 0;
 };
 
-// Performs whatever the ledger wants done at `now`.
+// Performs all reads and commits that the ledger requests at `now`.
 void Drive(LedgerSync& ledger, Store& store, Instant now) {
   while (auto action = ledger.Next(now)) {
     if (auto* read = std::get_if<ReadShards>(&*action)) {
@@ -73,12 +75,12 @@
   now += std::chrono::seconds(2);
   Drive(a, store, now);
 
-  // Not spent yet, but it may be: `b` has to wait.
+  // `a` holds 800 of 1000, though it has spent nothing yet, so `b` has to wait.
   const bool waits =
       b.Hold(now, RequestId("other"), budget, 500) == HoldOutcome::kWaiting;
   std::printf("b has to wait: %s\n", waits ? "yes" : "no");
 
-  // The large request cost only 100; the rest comes back when `b` asks.
+  // The large request cost only 100; the rest is returned when `b` requests it.
   Bill bill;
   bill.bill_id = "large";
   bill.budget = budget;
