--- a/dispatch/back_off.h
+++ b/dispatch/back_off.h
@@ -48,7 +48,7 @@
                  const TargetStart& after) {
     const auto it = pauses_.find(before);
     if (it == pauses_.end()) return;
-    if (now - it->second.noted_at >= kEntryTellsWithin) return;
+    if (now - it->second.noted_at >= kMaxEntryDelay) return;
     const Pause pause = it->second;
     pauses_[after] = pause;
   }
--- a/dispatch/placement.cc
+++ b/dispatch/placement.cc
@@ -130,7 +130,7 @@
   const auto notice = leaving_notices_.find(entry.name);
   if (notice == leaving_notices_.end() || notice->second.start == entry.start)
     return;
-  const Instant until = notice->second.at + kEntryTellsWithin;
+  const Instant until = notice->second.at + kMaxEntryDelay;
   if (until > now) state.pause_until = std::max(state.pause_until, until);
 }
 
@@ -244,7 +244,7 @@
 
 void Placement::OnSaysLeaving(Instant now, const TargetEntry& target) {
   std::erase_if(leaving_notices_, [now](const auto& it) {
-    return now - it.second.at >= kEntryTellsWithin;
+    return now - it.second.at >= kMaxEntryDelay;
   });
   leaving_notices_[target.name] = {target.start, now};
 }
--- a/dispatch/placement.h
+++ b/dispatch/placement.h
@@ -241,7 +241,7 @@
   void OnBackOff(Instant now, const TargetStart& target, Duration wait);
   // The target has announced in an answer that it is leaving. That answer may
   // have come from its next start, so the next start gets no requests until
-  // `kEntryTellsWithin` has passed.
+  // `kMaxEntryDelay` has passed.
   void OnSaysLeaving(Instant now, const TargetEntry& target);
   // What an answer to a request that was sent at `sent_at` states about the
   // rate limit of its target. Returns whether the limit has changed.
@@ -387,7 +387,7 @@
   PlacementRates rates_;
   RateLimits rate_limits_;
   BackOffs back_offs_;
-  // By name; only those of the last `kEntryTellsWithin`.
+  // By name; only those of the last `kMaxEntryDelay`.
   struct LeavingNotice {
     TargetStart start;
     Instant at{};
--- a/dispatch/rate_limits.h
+++ b/dispatch/rate_limits.h
@@ -131,7 +131,7 @@
                  const TargetStart& after) {
     const auto it = items_.find(before);
     if (it == items_.end() || !it->second.per_s) return false;
-    if (now - it->second.confirmed_at >= kEntryTellsWithin) return false;
+    if (now - it->second.confirmed_at >= kMaxEntryDelay) return false;
     const Item item = it->second;
     return items_.try_emplace(after, item).second;
   }
--- a/dispatch/target_warmth.h
+++ b/dispatch/target_warmth.h
@@ -64,7 +64,7 @@
 class TargetWarmth {
  public:
   // After this time its entry shows whether it restarted.
-  static constexpr Duration kUncertainTime = kEntryTellsWithin;
+  static constexpr Duration kUncertainTime = kMaxEntryDelay;
   // Bytes that a target sent before it ended are read at most this long after
   // its end was seen, because both events wait in the same loop.
   static constexpr Duration kInFlightGrace = std::chrono::milliseconds(100);
--- a/dispatch/testing/placement_open_test.cc
+++ b/dispatch/testing/placement_open_test.cc
@@ -321,7 +321,7 @@
   targets.at(name).start = TargetStart(name.value + "@2");
   it.SetTargets(kStart + milliseconds(100), targets);
   BOOST_TEST(!Send(kStart + milliseconds(100), 40).contains(name));
-  BOOST_TEST(Send(kStart + kEntryTellsWithin, 40).contains(name));
+  BOOST_TEST(Send(kStart + kMaxEntryDelay, 40).contains(name));
 }
 
 BOOST_FIXTURE_TEST_CASE(WhatWasSaidLongAgoDoesntHoldForTheNextStart,
@@ -331,8 +331,8 @@
   it.OnRate(kStart, StartOf(name), kStart, StatesLimit(0));
   it.OnBackOff(kStart, StartOf(name), std::chrono::seconds(60));
   targets.at(name).start = TargetStart(name.value + "@2");
-  it.SetTargets(kStart + kEntryTellsWithin, targets);
-  BOOST_TEST(Send(kStart + kEntryTellsWithin, 40).contains(name));
+  it.SetTargets(kStart + kMaxEntryDelay, targets);
+  BOOST_TEST(Send(kStart + kMaxEntryDelay, 40).contains(name));
 }
 
 }  // namespace
--- a/fleet/closed_halls.h
+++ b/fleet/closed_halls.h
@@ -31,7 +31,7 @@
 // once. For the other halls, the caller adopts the store's states some seconds
 // later with
 //
-//   halls.TakeShown();
+//   halls.AdoptStoreStates();
 //
 // Owns these states, reads no clock, knows no targets and reports no errors.
 
@@ -65,9 +65,9 @@
   static constexpr std::size_t kMaxOpened = 64;
 
   // Applies a state that the store shows. Returns whether the hall changed
-  // between closed and open; `Replace`, `Merge` and `TakeShown` return
+  // between closed and open; `Replace`, `Merge` and `AdoptStoreStates` return
   // the halls that did.
-  bool Note(const HallName& hall, const HallState& state) {
+  bool ApplyChange(const HallName& hall, const HallState& state) {
     const bool was_closed = IsClosed(hall);
     HallState& current = states_[hall];
     if (current.revision < state.revision) {
@@ -89,15 +89,15 @@
     }
     std::vector<HallName> changed;
     for (const auto& [hall, state] : closed) {
-      if (Note(hall, state)) changed.push_back(hall);
+      if (ApplyChange(hall, state)) changed.push_back(hall);
     }
     const HallStates before = states_;
     for (const auto& [hall, state] : before) {
       const bool is_carried = differing_.contains(hall);
       if (closed.contains(hall) || !state.closed || is_carried) continue;
-      if (Note(hall, {revision, false})) changed.push_back(hall);
+      if (ApplyChange(hall, {revision, false})) changed.push_back(hall);
     }
-    SetKnown(revision);
+    SetAppliedUpTo(revision);
     return changed;
   }
 
@@ -105,7 +105,7 @@
   // a later era.
   bool HasCarried() const { return !differing_.empty(); }
   // Sets the halls that differ to what the store shows.
-  std::vector<HallName> TakeShown() {
+  std::vector<HallName> AdoptStoreStates() {
     std::vector<HallName> changed;
     for (const auto& [hall, closed] : std::exchange(differing_, {})) {
       states_.at(hall).closed = closed;
@@ -119,13 +119,13 @@
     std::vector<HallName> changed;
     for (const auto& [hall, state] : states) {
       const bool is_old = state.revision <= applied_up_to_;
-      if (!is_old && Note(hall, state)) changed.push_back(hall);
+      if (!is_old && ApplyChange(hall, state)) changed.push_back(hall);
     }
     return changed;
   }
 
   // Marks every change of the store up to this revision as applied.
-  void SetKnown(StoreRevision revision) {
+  void SetAppliedUpTo(StoreRevision revision) {
     applied_up_to_ = std::max(applied_up_to_, revision);
   }
 
@@ -159,9 +159,9 @@
     }
     for (const auto& [hall, state] : closed) {
       if (states_.contains(hall)) continue;
-      if (Note(hall, state)) changed.push_back(hall);
+      if (ApplyChange(hall, state)) changed.push_back(hall);
     }
-    SetKnown(revision);
+    SetAppliedUpTo(revision);
     return changed;
   }
 
--- a/fleet/fleet.cc
+++ b/fleet/fleet.cc
@@ -100,7 +100,7 @@
   return HoldersInOrderOf(self_.value);
 }
 
-bool FleetDirectory::IsTold(const VmName& vm) const {
+bool FleetDirectory::SendsUpdatesTo(const VmName& vm) const {
   const auto it = members_.find(vm);
   const bool same_hall = it != members_.end() && it->second.hall == self().hall;
   return same_hall || IsReader(vm);
--- a/fleet/fleet.h
+++ b/fleet/fleet.h
@@ -141,7 +141,7 @@
   // Whether this router, if it is a reader, sends what it reads to `vm`. It
   // sends to all routers of its hall, and to the other readers, which send to
   // theirs.
-  bool IsTold(const VmName& vm) const;
+  bool SendsUpdatesTo(const VmName& vm) const;
   // This router's place in the rendezvous order of `key`; std::nullopt before
   // the list was read.
   std::optional<RendezvousPlace> PlaceFor(const std::string& key) const;
--- a/fleet/target_registry.h
+++ b/fleet/target_registry.h
@@ -17,7 +17,7 @@
 // it or while entries can't be read:
 //
 //   registry.MarkLeaving(name, started_at);
-//   send(registry.said_leaving());           // peers can't read it either
+//   send(registry.announced_leaving());           // peers can't read it either
 //
 // A target may start again under its name. Its starts are distinguished by
 // their times, and a new start has a new state: an earlier start that left
@@ -85,7 +85,7 @@
 // has lapsed or was replaced. An entry lapses after three missed writes, which
 // is 3.6 s at the deployment's interval of 1.2 s, and routers learn of it
 // within 2 s.
-inline constexpr Duration kEntryTellsWithin = std::chrono::milliseconds(5600);
+inline constexpr Duration kMaxEntryDelay = std::chrono::milliseconds(5600);
 
 class TargetRegistry {
  public:
@@ -121,11 +121,11 @@
   }
 
   // Listed starts that are known to leave although their entries don't show it.
-  const LeavingStarts& said_leaving() const { return announced_leaving_; }
+  const LeavingStarts& announced_leaving() const { return announced_leaving_; }
 
   // Whether `entry` is another start of a listed target, and not an earlier
   // one.
-  bool StartsAgain(const TargetEntry& entry) const {
+  bool IsNewStart(const TargetEntry& entry) const {
     const auto it = entries_.find(entry.name);
     return it != entries_.end() && it->second.start != entry.start &&
            !IsOfEarlierStart(entry);
--- a/fleet/testing/closed_halls_test.cc
+++ b/fleet/testing/closed_halls_test.cc
@@ -18,22 +18,22 @@
 
 BOOST_AUTO_TEST_CASE(AHallIsClosedUntilItIsOpenedAgain) {
   ClosedHalls it;
-  BOOST_TEST(it.Note(kHall, {5, true}));
+  BOOST_TEST(it.ApplyChange(kHall, {5, true}));
   BOOST_TEST(it.IsClosed(kHall));
   BOOST_TEST(!it.IsClosed(kOther));
-  BOOST_TEST(it.Note(kHall, {8, false}));
+  BOOST_TEST(it.ApplyChange(kHall, {8, false}));
   BOOST_TEST(!it.IsClosed(kHall));
 }
 
 BOOST_AUTO_TEST_CASE(WhatIsOlderTurnsNothingBack) {
   ClosedHalls it;
-  it.Note(kHall, {5, true});
-  BOOST_TEST(!it.Note(kHall, {4, false}));
+  it.ApplyChange(kHall, {5, true});
+  BOOST_TEST(!it.ApplyChange(kHall, {4, false}));
   BOOST_TEST(it.Replace({}, 4).empty());
   BOOST_TEST(it.Merge({{kHall, {3, false}}}).empty());
   BOOST_TEST(it.IsClosed(kHall));
-  it.Note(kHall, {8, false});
-  BOOST_TEST(!it.Note(kHall, {5, true}));
+  it.ApplyChange(kHall, {8, false});
+  BOOST_TEST(!it.ApplyChange(kHall, {5, true}));
   BOOST_TEST(it.Merge({{kHall, {5, true}}}).empty());
   BOOST_TEST(!it.IsClosed(kHall));
 }
@@ -69,7 +69,7 @@
 
 BOOST_AUTO_TEST_CASE(APeerThatWasCutOffIsToldThatAHallIsOpen) {
   ClosedHalls cut_off;
-  cut_off.Note(kHall, {5, true});
+  cut_off.ApplyChange(kHall, {5, true});
   ClosedHalls current = cut_off;
   current.Replace({}, 9);
   BOOST_TEST(cut_off.Merge(current.states()).size() == 1U);
@@ -78,11 +78,11 @@
 
 BOOST_AUTO_TEST_CASE(MemoryIsBoundedAndClosedHallsAreKept) {
   ClosedHalls it;
-  it.Note(kHall, {1, true});
+  it.ApplyChange(kHall, {1, true});
   for (int n = 0; n < 500; ++n) {
     const HallName hall("h" + std::to_string(n));
-    it.Note(hall, {10 + 2 * n, true});
-    it.Note(hall, {11 + 2 * n, false});
+    it.ApplyChange(hall, {10 + 2 * n, true});
+    it.ApplyChange(hall, {11 + 2 * n, false});
   }
   BOOST_TEST(it.states().size() == ClosedHalls::kMaxOpened + 1);
   BOOST_TEST(it.IsClosed(kHall));
@@ -177,10 +177,10 @@
       const HallName hall("h" + std::to_string(n));
       if (before.contains(hall) == after.contains(hall)) continue;
       const HallState state{it.read, after.contains(hall)};
-      it.halls.Note(hall, state);
+      it.halls.ApplyChange(hall, state);
       it.last_received[hall] = state;
     }
-    it.halls.SetKnown(it.read);
+    it.halls.SetAppliedUpTo(it.read);
   }
 
   // Whether the router has a state of a hall from before a change that it has
@@ -239,14 +239,14 @@
 BOOST_AUTO_TEST_CASE(AnOlderCopyChangesNoHallThatIsKnown) {
   ClosedHalls it;
   it.Replace({{kOther, {{1, 5}, true}}}, {1, 9});
-  it.Note(kHall, {{1, 12}, true});
-  it.Note(kOther, {{1, 13}, false});
+  it.ApplyChange(kHall, {{1, 12}, true});
+  it.ApplyChange(kOther, {{1, 13}, false});
   BOOST_TEST(it.Replace({{kOther, {{2, 5}, true}}}, {2, 10}).empty());
   BOOST_TEST(it.IsClosed(kHall));
   BOOST_TEST(!it.IsClosed(kOther));
   // Operators repeat the lost changes.
-  BOOST_TEST(!it.Note(kHall, {{2, 11}, true}));
-  BOOST_TEST(!it.Note(kOther, {{2, 12}, false}));
+  BOOST_TEST(!it.ApplyChange(kHall, {{2, 11}, true}));
+  BOOST_TEST(!it.ApplyChange(kOther, {{2, 12}, false}));
   BOOST_TEST(!it.HasCarried());
 }
 
@@ -260,7 +260,7 @@
   // A later read of the same era changes nothing more.
   BOOST_TEST(it.Replace({}, {2, 8}).empty());
   BOOST_TEST(it.HasCarried());
-  BOOST_TEST(it.TakeShown().size() == 1U);
+  BOOST_TEST(it.AdoptStoreStates().size() == 1U);
   BOOST_TEST(!it.IsClosed(kHall));
 }
 
--- a/fleet/testing/fleet_test.cc
+++ b/fleet/testing/fleet_test.cc
@@ -90,7 +90,7 @@
   FleetDirectory fleet = Fleet(kLarge);
   for (int n = 0; n < kLarge; ++n) {
     const bool same_hall = n % kHalls == 0;
-    BOOST_TEST(fleet.IsTold(Member(n).vm) ==
+    BOOST_TEST(fleet.SendsUpdatesTo(Member(n).vm) ==
                (same_hall || fleet.IsReader(Member(n).vm)));
   }
   BOOST_TEST(fleet.readers() == 9U);
--- a/fleet/testing/target_registry_test.cc
+++ b/fleet/testing/target_registry_test.cc
@@ -117,12 +117,12 @@
   BOOST_TEST(registry.MarkLeaving(TargetName("a"), Start("a", 5).started_at));
   BOOST_TEST(!registry.MarkLeaving(TargetName("a"), Start("a", 5).started_at));
   BOOST_TEST(registry.entries().at(TargetName("a")).leaving);
-  BOOST_TEST(registry.said_leaving().size() == 1U);
+  BOOST_TEST(registry.announced_leaving().size() == 1U);
   registry.Replace({Start("a", 5)});
   BOOST_TEST(registry.entries().at(TargetName("a")).leaving);
   // Now the entry shows it too, and peers can read that.
   registry.Put(Start("a", 5, true));
-  BOOST_TEST(registry.said_leaving().empty());
+  BOOST_TEST(registry.announced_leaving().empty());
 }
 
 BOOST_AUTO_TEST_CASE(ALaterStartOfOneThatSaidThatItLeavesIsNotLeaving) {
@@ -131,7 +131,7 @@
   registry.MarkLeaving(TargetName("a"), Start("a", 5).started_at);
   registry.Put(Start("a", 9));
   BOOST_TEST(!registry.entries().at(TargetName("a")).leaving);
-  BOOST_TEST(registry.said_leaving().empty());
+  BOOST_TEST(registry.announced_leaving().empty());
   // A late announcement of the earlier start.
   BOOST_TEST(!registry.MarkLeaving(TargetName("a"), Start("a", 5).started_at));
   BOOST_TEST(!registry.entries().at(TargetName("a")).leaving);
@@ -151,7 +151,7 @@
   registry.MarkLeaving(TargetName("lapsed"), {});
   registry.Remove(TargetName("lapsed"));
   BOOST_TEST(!Listed("lapsed"));
-  BOOST_TEST(registry.said_leaving().empty());
+  BOOST_TEST(registry.announced_leaving().empty());
 }
 
 }  // namespace
--- a/prepaid/prepaid_ledger.cc
+++ b/prepaid/prepaid_ledger.cc
@@ -307,7 +307,7 @@
   out.spend_key = {later_era_state_->era, 0};
   const auto self = later_era_state_->spends.find(self_);
   if (self != later_era_state_->spends.end()) {
-    const StoredAt at{self->second.key_era, self->second.revision};
+    const KeyRevision at{self->second.key_era, self->second.revision};
     if (at.key_era == later_era_state_->era) {
       out.spend_key = at;
     } else {
@@ -396,7 +396,7 @@
   TrackUndeclared(now);
 }
 
-void PrepaidLedger::ReplaceRecord(Instant now, StoredAt at,
+void PrepaidLedger::ReplaceRecord(Instant now, KeyRevision at,
                                   PrepaidRecord record) {
   MeasureSettling(now, record);
   record_confirmed_at_ = now;
--- a/prepaid/prepaid_ledger.h
+++ b/prepaid/prepaid_ledger.h
@@ -35,7 +35,7 @@
 // and sets the router's own entries to what it has spent and may still spend.
 // Nothing is granted from the record until each member has declared itself or
 // is proven dead, or `declaration_timeout` has passed; transfers continue
-// meanwhile. Each era has separate keys (StoredAt), so that a delayed write
+// meanwhile. Each era has separate keys (KeyRevision), so that a delayed write
 // of an earlier era changes nothing.
 //
 // A grant is never reclaimed just because its holder has been silent (see
@@ -96,7 +96,7 @@
   PrepaidRecord record;
   // The accounts of this router and of its predecessors, as far as they exist.
   std::map<Incarnation, StoredSpend> spends;
-  // Of the record's key; see `StoredAt`.
+  // Of the record's key; see `KeyRevision`.
   std::int64_t key_era = 0;
   // The store's era.
   std::int64_t era = 0;
@@ -108,20 +108,20 @@
 struct PrepaidWrite {
   // The store's era that the revisions belong to.
   std::int64_t era = 0;
-  StoredAt expected_spend;
+  KeyRevision expected_spend;
   SpendAccount spend;
   // The account is removed instead of being replaced.
   bool leaves = false;
   bool changes_record = false;
-  StoredAt expected_record;
+  KeyRevision expected_record;
   PrepaidRecord record;
   // Declares this router's state in a later era of the store.
   bool declares = false;
   // This router's account and the record of an earlier era, to be removed.
-  std::optional<StoredAt> earlier_record;
-  std::optional<StoredAt> earlier_spend;
+  std::optional<KeyRevision> earlier_record;
+  std::optional<KeyRevision> earlier_spend;
   // Accounts of predecessors, to be removed.
-  std::map<Incarnation, StoredAt> removes;
+  std::map<Incarnation, KeyRevision> removes;
   std::vector<ChargedPredecessor> charged;
 };
 
@@ -141,8 +141,8 @@
   // Makes this router join the record and get grants. Before, a ledger reads
   // the record once and writes nothing, unless the record shows an earlier
   // incarnation of this VM.
-  void KeepGrants() { is_holder_ = true; }
-  bool KeepsGrants() const { return is_holder_; }
+  void BecomeHolder() { is_holder_ = true; }
+  bool ActsAsHolder() const { return is_holder_; }
 
   // Sets the budgets of configuration `version`; ignored unless it is newer
   // than the present one. A customer without a budget may spend freely.
@@ -229,7 +229,7 @@
   void Withhold(Instant now, StoreView& view) const;
   void MeasureSettling(Instant now, const PrepaidRecord& next);
   // The store has another record; this router's account is unchanged.
-  void ReplaceRecord(Instant now, StoredAt at, PrepaidRecord record);
+  void ReplaceRecord(Instant now, KeyRevision at, PrepaidRecord record);
   void Confirm(Instant now, StoreView view);
 
   Identity identity_;
--- a/prepaid/store_view.h
+++ b/prepaid/store_view.h
@@ -31,7 +31,7 @@
 struct StoredSpend {
   std::int64_t revision = 0;
   SpendAccount spend;
-  // See `StoredAt`.
+  // See `KeyRevision`.
   std::int64_t key_era = 0;
 };
 
@@ -39,7 +39,7 @@
 // so that a delayed write for an earlier era finds its keys removed and fails.
 // Era 0 stands for the keys without an era, in use until the store is first
 // restored.
-struct StoredAt {
+struct KeyRevision {
   std::int64_t key_era = 0;
   // 0 if the key doesn't exist.
   std::int64_t revision = 0;
@@ -49,9 +49,9 @@
 struct StoreView {
   // The store's era.
   std::int64_t era = 0;
-  StoredAt record_key;
+  KeyRevision record_key;
   PrepaidRecord record;
-  StoredAt spend_key;
+  KeyRevision spend_key;
   SpendAccount spend;
   // Spending that this state includes and the confirmed state doesn't.
   std::map<CustomerName, Tokens> reported;
--- a/prepaid/testing/ledger_test.cc
+++ b/prepaid/testing/ledger_test.cc
@@ -56,7 +56,7 @@
 
   PrepaidLedger Make(const std::string& self, const std::string& boot = "b") {
     PrepaidLedger out({Incarnation(self), boot, now}, policy);
-    out.KeepGrants();
+    out.BecomeHolder();
     out.SetLimits(1, {{kCustomer, kLimit}});
     return out;
   }
--- a/prepaid/testing/power_loss_test.cc
+++ b/prepaid/testing/power_loss_test.cc
@@ -68,7 +68,7 @@
       names_.emplace_back("vm" + std::to_string(vm) + "@" + boot);
       ledgers_.emplace_back(PrepaidIdentity{names_.back(), boot, now_},
                             PrepaidPolicy());
-      ledgers_.back().KeepGrants();
+      ledgers_.back().BecomeHolder();
       ledgers_.back().SetLimits(1, {{kCustomer, kLimit}});
     }
     ServeAll();
--- a/prepaid/testing/property_test.cc
+++ b/prepaid/testing/property_test.cc
@@ -128,7 +128,7 @@
     const std::string boot = known ? "boot-" + name : "";
     PrepaidLedger::Identity identity{it.self, boot, now_};
     it.ledger = std::make_unique<PrepaidLedger>(identity, PrepaidPolicy());
-    it.ledger->KeepGrants();
+    it.ledger->BecomeHolder();
     it.ledger->SetLimits(1, {{kCustomer, kLimit}});
   }
 
@@ -387,12 +387,12 @@
     return RecordIsAt(write.expected_record) &&
            (!record || RecordIsAt(*record));
   }
-  bool IsAt(const Incarnation& router, const StoredAt& at) const {
+  bool IsAt(const Incarnation& router, const KeyRevision& at) const {
     const auto it = contents_.spends.find({router, at.key_era});
     return (it == contents_.spends.end() ? 0 : it->second.revision) ==
            at.revision;
   }
-  bool RecordIsAt(const StoredAt& at) const {
+  bool RecordIsAt(const KeyRevision& at) const {
     const auto it = contents_.records.find(at.key_era);
     return (it == contents_.records.end() ? 0 : it->second.revision) ==
            at.revision;
--- a/prepaid/testing/record_writes_test.cc
+++ b/prepaid/testing/record_writes_test.cc
@@ -68,7 +68,7 @@
       it.self = Incarnation("vm" + std::to_string(n) + "@1");
       it.ledger = std::make_unique<PrepaidLedger>(
           PrepaidIdentity{it.self, "boot", now_}, PrepaidPolicy());
-      it.ledger->KeepGrants();
+      it.ledger->BecomeHolder();
       it.ledger->SetLimits(1, limits);
     }
   }
--- a/relay/budget_driver.cc
+++ b/relay/budget_driver.cc
@@ -108,8 +108,8 @@
 
 void BudgetDriver::JoinIfHolder() {
   const bool is_holder = fleet_.IsRead() && fleet_.IsHolder(VmOf(self_));
-  if (ledger_.KeepsGrants() || !is_holder) return;
-  ledger_.KeepGrants();
+  if (ledger_.ActsAsHolder() || !is_holder) return;
+  ledger_.BecomeHolder();
   store_.ScheduleCycle();
 }
 
@@ -140,7 +140,7 @@
   // Requests that arrive before the list of routers has settled don't wait for
   // that.
   JoinIfHolder();
-  if (ledger_.KeepsGrants()) return HoldFromGrant(waiter);
+  if (ledger_.ActsAsHolder()) return HoldFromGrant(waiter);
   RequestFromHolders(waiter);
   return PrepaidVerdict::kShort;
 }
--- a/relay/config_follower.cc
+++ b/relay/config_follower.cc
@@ -31,7 +31,7 @@
     ApplyOrder(it);
     if (!it.removed) AdoptIfHigher(it.item, Source::kStore);
   };
-  on.settled = [this] { halls_.SetKnown(feed_.known()); };
+  on.settled = [this] { halls_.SetAppliedUpTo(feed_.known()); };
   on.reachable = [this](bool reachable) {
     LogEvent(reachable ? Event::kKvBack : Event::kKvLost, {{"by", "config"}});
     on_.store_reachable(reachable);
@@ -56,7 +56,7 @@
   if (!halls_.HasCarried()) return;
   stored_halls_timer_ = loop_.After(kRewriteTime, [this] {
     stored_halls_timer_.reset();
-    ReportHalls(halls_.TakeShown(), Source::kStore);
+    ReportHalls(halls_.AdoptStoreStates(), Source::kStore);
   });
 }
 
@@ -64,7 +64,7 @@
   const auto hall = reader_.ClosedHall(change.item.key);
   if (!hall) return;
   const bool changed =
-      halls_.Note(*hall, {change.item.revision, !change.removed});
+      halls_.ApplyChange(*hall, {change.item.revision, !change.removed});
   if (changed) ReportHalls({*hall}, Source::kStore);
 }
 
--- a/relay/crash_watch.h
+++ b/relay/crash_watch.h
@@ -102,7 +102,7 @@
       std::chrono::milliseconds(600)};
   // How long an unanswered attempt may still be reported: until the list of
   // targets has shown an end.
-  static constexpr Duration kRememberFor = kEntryTellsWithin;
+  static constexpr Duration kRememberFor = kMaxEntryDelay;
   // Attempts that are remembered for each target; the oldest is dropped beyond
   // that. A router has fewer running at one target.
   static constexpr std::size_t kMaxRemembered = 64;
--- a/relay/prepaid_store.cc
+++ b/relay/prepaid_store.cc
@@ -192,7 +192,7 @@
   const auto expect = [&](const std::string& key, std::int64_t revision) {
     out.conditions.push_back({key, {write.era, revision}});
   };
-  const auto remove = [&](const std::string& key, const StoredAt& at) {
+  const auto remove = [&](const std::string& key, const KeyRevision& at) {
     expect(key, at.revision);
     out.removes.push_back(key);
   };
@@ -204,7 +204,7 @@
     out.removes.push_back(spend_key);
   }
   if (!write.changes_record) return out;
-  const StoredAt& record = write.expected_record;
+  const KeyRevision& record = write.expected_record;
   expect(RecordKeyIn(record.key_era), record.revision);
   out.puts.push_back(
       {RecordKeyIn(record.key_era), EncodePrepaid(write.record), {}});
--- a/relay/prepaid_store.h
+++ b/relay/prepaid_store.h
@@ -16,7 +16,7 @@
 //   quaytrack/prepaid               the record, of all routers
 //   quaytrack/spend/<incarnation>   the spend account of one router
 // After the store came back from an older copy of itself, "/" and the era
-// follow the key (StoredAt). The write that replaces a key of an earlier era
+// follow the key (KeyRevision). The write that replaces a key of an earlier era
 // also removes it; if a late write creates it again, the value of the latest
 // era counts.
 //
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -204,7 +204,10 @@
   out.publish = [this](PeerMessage it) {
     it.from = self_;
     peers_.SendToMatching(
-        [this](const VmName& vm) { return fleet_.directory().IsTold(vm); }, it);
+        [this](const VmName& vm) {
+          return fleet_.directory().SendsUpdatesTo(vm);
+        },
+        it);
   };
   out.is_reader = [this](const Incarnation& peer) {
     return fleet_.directory().IsReader(VmOf(peer));
@@ -480,8 +483,8 @@
   message.store_era = store_.era();
   message.halls = configs_.halls().states();
   message.targets_revision = targets_.revision();
-  message.leaving = targets_.registry().said_leaving();
-  message.keeps_budgets = budgets_.ledger().KeepsGrants();
+  message.leaving = targets_.registry().announced_leaving();
+  message.keeps_budgets = budgets_.ledger().ActsAsHolder();
   message.engine_speeds = placement_.Learned();
   rollouts_.Fill(message);
   FillMarks(message);
--- a/relay/target_follower.cc
+++ b/relay/target_follower.cc
@@ -128,7 +128,7 @@
   registry_.KeepMissing();
   StopKeepingLater();
   unconfirmed_timer_ =
-      loop_.After(kEntryTellsWithin, [this] { AcceptUnconfirmed(); });
+      loop_.After(kMaxEntryDelay, [this] { AcceptUnconfirmed(); });
 }
 
 void TargetFollower::AcceptUnconfirmed() {
@@ -159,7 +159,7 @@
 }
 
 void TargetFollower::ReportRestart(const TargetEntry& entry) {
-  if (!on_.restarted || !registry_.StartsAgain(entry)) return;
+  if (!on_.restarted || !registry_.IsNewStart(entry)) return;
   on_.restarted(registry_.entries().at(entry.name));
 }
 
--- a/relay/target_follower.h
+++ b/relay/target_follower.h
@@ -37,7 +37,7 @@
 // read of a later era counts as an outage, by the rules above. An entry in it
 // of a target that isn't listed here may be that of a target that had left: it
 // takes effect once it is written again, or if it is still there after
-// `kEntryTellsWithin`, by which time it would have expired. A target that is
+// `kMaxEntryDelay`, by which time it would have expired. A target that is
 // known to leave stays leaving, and peers are notified
 // (fleet/target_registry.h).
 //
--- a/relay/testing/budgets_test.cc
+++ b/relay/testing/budgets_test.cc
@@ -769,13 +769,13 @@
   BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
   budgets.JoinIfHolder();
   RunSome();
-  BOOST_TEST(!budgets.ledger().KeepsGrants());
+  BOOST_TEST(!budgets.ledger().ActsAsHolder());
   BOOST_TEST(store.writes == 0U);
   BOOST_TEST(it->answers() == 0);
   ReadFleet();
   BOOST_REQUIRE(!fleet.IsHolder(VmName("vm1")));
   BOOST_TEST(UnicastsOf(PeerMessageKind::kHoldWanted).size() == 1U);
-  BOOST_TEST(!budgets.ledger().KeepsGrants());
+  BOOST_TEST(!budgets.ledger().ActsAsHolder());
 }
 
 BOOST_FIXTURE_TEST_CASE(WithoutAListOfRoutersARequestIsRefusedSoon,
--- a/relay/testing/target_follower_test.cc
+++ b/relay/testing/target_follower_test.cc
@@ -194,7 +194,7 @@
   BOOST_TEST(Leaving("a"));
   BOOST_TEST(!Leaving("b"));
   PeerMessage message;
-  message.leaving = follower.registry().said_leaving();
+  message.leaving = follower.registry().announced_leaving();
   message.leaving[TargetName("b")] = {};
   message.leaving[TargetName("unknown")] = {};
   follower.OnPeer(message);
@@ -227,7 +227,7 @@
              {{"t/a", "ready", {2, 1}}, {"t/b", "ready", {2, 2}}}}));
   BOOST_TEST(!Listed("b"));
   // Peers are notified, as they may have read nothing but the copy.
-  BOOST_TEST(follower.registry().said_leaving().contains(TargetName("a")));
+  BOOST_TEST(follower.registry().announced_leaving().contains(TargetName("a")));
   // The target is alive, and writes its entry again.
   BOOST_TEST(store.AnswerWait(
       "t/",
