--- a/dispatch/crash_blame.cc
+++ b/dispatch/crash_blame.cc
@@ -98,7 +98,7 @@
   for (const auto& [target, report] : it.reports) {
     if (explained.contains(target) || !CountsAgainst(it, report)) continue;
     ++out.crashes;
-    out.begun_for += report.begun_for;
+    out.run_time += report.run_time;
   }
   return out;
 }
@@ -106,7 +106,7 @@
 // Whether `a` is blamed before `b`.
 bool CrashBlame::IsBlamedBefore(const Candidate& a, const Candidate& b) {
   if (a.crashes != b.crashes) return a.crashes > b.crashes;
-  if (a.begun_for != b.begun_for) return a.begun_for < b.begun_for;
+  if (a.run_time != b.run_time) return a.run_time < b.run_time;
   return a.request < b.request;
 }
 
--- a/dispatch/crash_blame.h
+++ b/dispatch/crash_blame.h
@@ -69,7 +69,7 @@
   TargetStart target;
   // Wall clock of the router that saw the crash.
   WallTime at{};
-  Duration begun_for{};
+  Duration run_time{};
 
   bool operator==(const CrashReport&) const = default;
 };
@@ -133,7 +133,7 @@
     Fingerprint request;
     std::size_t crashes = 0;
     // Total over the crashes that count.
-    Duration begun_for{};
+    Duration run_time{};
   };
 
   // These do not evaluate. Return whether anything changed.
--- a/dispatch/placement.cc
+++ b/dispatch/placement.cc
@@ -153,7 +153,7 @@
   return it == cold_rules_.end() ? kNone : it->second;
 }
 
-void Placement::SetPlaces(PlaceLookup place_of) {
+void Placement::SetPlaceLookup(PlaceLookup place_of) {
   place_lookup_ = std::move(place_of);
   for (auto& [name, state] : targets_) state.place.reset();
 }
@@ -242,7 +242,7 @@
   }
 }
 
-void Placement::OnSaysLeaving(Instant now, const TargetEntry& target) {
+void Placement::OnLeavingAnnounced(Instant now, const TargetEntry& target) {
   std::erase_if(leaving_notices_, [now](const auto& it) {
     return now - it.second.at >= kMaxEntryDelay;
   });
@@ -395,8 +395,8 @@
   });
 }
 
-std::size_t Placement::RunningElsewhere(const ServiceName& service,
-                                        const VersionName& version) const {
+std::size_t Placement::RunningAtOtherVersions(
+    const ServiceName& service, const VersionName& version) const {
   std::size_t out = 0;
   for (const auto& [name, state] : targets_) {
     if (state.entry.service != service) continue;
@@ -448,7 +448,7 @@
 
 bool Placement::IsNextAlone(const PlacementRequest& request,
                             const VersionGate& gate) const {
-  if (gate.rule().next.empty() || !gate.rule().next_alone) return false;
+  if (gate.rule().next.empty() || !gate.rule().allow_next_alone) return false;
   return std::none_of(targets_.begin(), targets_.end(), [&](const auto& it) {
     const State& state = it.second;
     return IsEligible(state, request) &&
@@ -583,8 +583,8 @@
   return prefill;
 }
 
-bool Placement::IsWorthTelling(const PlacementRequest& request,
-                               Tokens prefill) const {
+bool Placement::IsWorthReporting(const PlacementRequest& request,
+                                 Tokens prefill) const {
   const double ms = SpeedOf(request.service).PrefillMs(prefill);
   return ms > Milliseconds(request.pause_limit) * kReportedPauseShare;
 }
@@ -618,7 +618,7 @@
   state.prefill = std::max<Tokens>(0, state.prefill - prefill);
 }
 
-Placement::Speeds Placement::Learned() const {
+Placement::Speeds Placement::LearnedSpeeds() const {
   Speeds out;
   for (const auto& [service, speed] : speeds_) out[service] = speed.line();
   return out;
--- a/dispatch/placement.h
+++ b/dispatch/placement.h
@@ -136,9 +136,9 @@
 // healthy.
 enum class PlacementOutcome {
   kGood,
-  kFailed,      // no valid answer; the target may have ended
-  kTurnedAway,  // refused for lack of capacity; counts as a failure
-  kNeutral,     // shows nothing about the target
+  kFailed,   // no valid answer; the target may have ended
+  kRefused,  // refused for lack of capacity; counts as a failure
+  kNeutral,  // shows nothing about the target
 };
 
 // A chosen target, and why it was chosen.
@@ -185,15 +185,15 @@
   // Whether some target of the version may get work.
   bool HasVersion(const ServiceName& service, const VersionName& version) const;
   // This router's requests that run at other versions of the service.
-  std::size_t RunningElsewhere(const ServiceName& service,
-                               const VersionName& version) const;
+  std::size_t RunningAtOtherVersions(const ServiceName& service,
+                                     const VersionName& version) const;
 
   // The place of this router in the rendezvous order of a target that accepts
   // few requests; std::nullopt if it is not known. `SetPlaceLookup` discards
   // the places that were looked up before.
   using PlaceLookup =
       std::function<std::optional<RendezvousPlace>(const TargetStart&)>;
-  void SetPlaces(PlaceLookup place_lookup);
+  void SetPlaceLookup(PlaceLookup place_lookup);
 
   // Whether further requests may be sent to a target: this start of it is
   // listed, it is not leaving, and its hall is not closed. Every rule that
@@ -242,7 +242,7 @@
   // The target has announced in an answer that it is leaving. That answer may
   // have come from its next start, so the next start gets no requests until
   // `kMaxEntryDelay` has passed.
-  void OnSaysLeaving(Instant now, const TargetEntry& target);
+  void OnLeavingAnnounced(Instant now, const TargetEntry& target);
   // What an answer to a request that was sent at `sent_at` states about the
   // rate limit of its target. Returns whether the limit has changed.
   bool OnRate(Instant now, const TargetStart& target, Instant sent_at,
@@ -252,7 +252,7 @@
   std::vector<TargetStart> OnRateReports(Instant now,
                                          const RateReports& reports);
   // Reports for the peers (dispatch/rate_limits.h).
-  RateReports TakeUntoldRates(Instant now, bool forwards) {
+  RateReports TakeUnreportedRates(Instant now, bool forwards) {
     return rate_limits_.TakeUnreported(now, forwards);
   }
   const RateLimits& rate_limits() const { return rate_limits_; }
@@ -264,13 +264,13 @@
   void OnPeerSent(Instant now, const TargetName& name, Tokens prefill);
   // Whether to notify peers of a prompt of which `prefill` tokens are not
   // cached: whether it keeps an engine busy for a time that matters to others.
-  bool IsWorthTelling(const PlacementRequest& request, Tokens prefill) const;
+  bool IsWorthReporting(const PlacementRequest& request, Tokens prefill) const;
 
   // Targets that have become cold or warm since the last call.
   struct ColdChange {
     TargetName target;
     bool cold = false;
-    ColdSign sign = ColdSign::kEntry;
+    ColdSign reason = ColdSign::kEntry;
   };
   std::vector<ColdChange> ColdChanges(Instant now);
   // Number of targets that are cold.
@@ -279,7 +279,7 @@
   // The learned prefill speeds by service, to be sent to peers. A router that
   // has seen too few answers itself uses those of a peer.
   using Speeds = std::map<ServiceName, SpeedLine>;
-  Speeds Learned() const;
+  Speeds LearnedSpeeds() const;
   void SetPeerSpeeds(const Speeds& speeds);
 
  private:
--- a/dispatch/testing/limited_fleet_test.cc
+++ b/dispatch/testing/limited_fleet_test.cc
@@ -203,7 +203,7 @@
         PlacementRates{SharedRate(now, {}), SharedRate(now, kAllowance)},
         regions_);
     const FleetDirectory& list = *it.list;
-    it.placement->SetPlaces([&list](const TargetStart& target) {
+    it.placement->SetPlaceLookup([&list](const TargetStart& target) {
       return list.PlaceFor(target.value);
     });
     it.placement->SetTargets(now, targets_);
@@ -255,8 +255,8 @@
   void ReportToPeers() {
     for (std::size_t n = 0; n < routers_.size(); ++n) {
       if (IsFrozen(n)) continue;
-      const auto reports =
-          routers_[n].placement->TakeUntoldRates(now_, readers_.contains(n));
+      const auto reports = routers_[n].placement->TakeUnreportedRates(
+          now_, readers_.contains(n));
       for (std::size_t peer = 0; peer < routers_.size(); ++peer) {
         if (IsLinked(n, peer)) SendReports(peer, reports);
       }
--- a/dispatch/testing/placement_open_test.cc
+++ b/dispatch/testing/placement_open_test.cc
@@ -73,7 +73,7 @@
 struct ColdFixture {
   explicit ColdFixture(bool is_owner = true) {
     it.SetColdRules({{kEngines, {std::chrono::seconds(3), 6.6}}});
-    it.SetPlaces([is_owner](const TargetStart&) {
+    it.SetPlaceLookup([is_owner](const TargetStart&) {
       return std::optional(RendezvousPlace{is_owner ? 0U : 2U, 7});
     });
     it.SetTargets(kStart, targets);
@@ -160,7 +160,7 @@
   }
   const auto changes = it.ColdChanges(then);
   BOOST_REQUIRE(!changes.empty());
-  BOOST_TEST((changes[0].sign == ColdSign::kHallOpen));
+  BOOST_TEST((changes[0].reason == ColdSign::kHallOpen));
   BOOST_TEST(it.ColdChanges(then).empty());
   BOOST_TEST(!it.ColdChanges(then + std::chrono::seconds(3)).empty());
 }
@@ -201,7 +201,7 @@
     const RateAllowance allowance{std::chrono::seconds(4), 1.5, 5};
     it = Placement(HallName("hall-0"),
                    {SharedRate({}, {}), SharedRate({}, allowance)});
-    it.SetPlaces([is_owner](const TargetStart&) {
+    it.SetPlaceLookup([is_owner](const TargetStart&) {
       return std::optional(RendezvousPlace{is_owner ? 0U : 2U, 7});
     });
     it.SetTargets(kStart, targets);
@@ -230,7 +230,7 @@
                  {SharedRate({}, {std::chrono::seconds(1), 1.5, 5}),
                   SharedRate({}, {std::chrono::seconds(4), 1.5, 5})});
   it.SetColdRules({{kEngines, {std::chrono::seconds(3), 6.6}}});
-  it.SetPlaces([](const TargetStart&) {
+  it.SetPlaceLookup([](const TargetStart&) {
     return std::optional(RendezvousPlace{0, 7});
   });
   it.SetTargets(kStart, targets);
@@ -317,7 +317,7 @@
 BOOST_FIXTURE_TEST_CASE(WhatWasSaidLatelyHoldsForTheNextStart, LimitFixture) {
   const TargetName name = Preferred();
   const TargetEntry before = targets.at(name);
-  it.OnSaysLeaving(kStart, before);
+  it.OnLeavingAnnounced(kStart, before);
   targets.at(name).start = TargetStart(name.value + "@2");
   it.SetTargets(kStart + milliseconds(100), targets);
   BOOST_TEST(!Send(kStart + milliseconds(100), 40).contains(name));
@@ -327,7 +327,7 @@
 BOOST_FIXTURE_TEST_CASE(WhatWasSaidLongAgoDoesntHoldForTheNextStart,
                         LimitFixture) {
   const TargetName name = Preferred();
-  it.OnSaysLeaving(kStart, targets.at(name));
+  it.OnLeavingAnnounced(kStart, targets.at(name));
   it.OnRate(kStart, StartOf(name), kStart, StatesLimit(0));
   it.OnBackOff(kStart, StartOf(name), std::chrono::seconds(60));
   targets.at(name).start = TargetStart(name.value + "@2");
--- a/dispatch/testing/placement_test.cc
+++ b/dispatch/testing/placement_test.cc
@@ -175,7 +175,7 @@
   BOOST_TEST(OtherIsChosen(Duration::zero()));
   Fail(2);
   Fail(9, PlacementOutcome::kNeutral);
-  Fail(1, PlacementOutcome::kTurnedAway);
+  Fail(1, PlacementOutcome::kRefused);
   BOOST_TEST(!OtherIsChosen(Duration::zero()));
 }
 
--- a/dispatch/testing/placement_version_test.cc
+++ b/dispatch/testing/placement_version_test.cc
@@ -35,8 +35,8 @@
     VersionRule rule;
     rule.next = kNew;
     rule.share = share;
-    rule.others = others;
-    rule.next_alone = alone;
+    rule.allow_others = others;
+    rule.allow_next_alone = alone;
     it.SetVersionRule(kEngines, rule, 0);
   }
   // Sends prompts with 40 different parts; returns how many each target got.
@@ -170,9 +170,9 @@
   const PlacementRequest request = Prompt(7, 1);
   it.OnSent(kStart, TargetName("t0"), request, false);
   it.OnSent(kStart, TargetName("nt0"), request, false);
-  BOOST_TEST(it.RunningElsewhere(kEngines, kNew) == 1U);
+  BOOST_TEST(it.RunningAtOtherVersions(kEngines, kNew) == 1U);
   it.OnEnded(kStart, TargetName("t0"), 0, PlacementOutcome::kGood);
-  BOOST_TEST(it.RunningElsewhere(kEngines, kNew) == 0U);
+  BOOST_TEST(it.RunningAtOtherVersions(kEngines, kNew) == 0U);
   BOOST_TEST(it.HasVersion(kEngines, kNew));
   BOOST_TEST(!it.HasVersion(kDesk, kNew));
 }
--- a/dispatch/testing/version_gate_test.cc
+++ b/dispatch/testing/version_gate_test.cc
@@ -71,7 +71,7 @@
 BOOST_AUTO_TEST_CASE(WhatIsWithdrawnGetsNothing) {
   VersionGate it;
   VersionRule rule = Share(0);
-  rule.next_alone = false;
+  rule.allow_next_alone = false;
   it.SetRule(rule, 0.99);
   BOOST_TEST((it.Turn() == VersionTurn::kOthers));
   BOOST_TEST(!it.Admits(kNew));
@@ -81,7 +81,7 @@
 BOOST_AUTO_TEST_CASE(WhatIsCompletedGetsAll) {
   VersionGate it;
   VersionRule rule = Share(1);
-  rule.others = false;
+  rule.allow_others = false;
   it.SetRule(rule, 0);
   BOOST_TEST((it.Turn() == VersionTurn::kAny));
   BOOST_TEST(it.MayTake(VersionTurn::kAny, kNew));
--- a/dispatch/version_gate.h
+++ b/dispatch/version_gate.h
@@ -32,9 +32,9 @@
   // Share of the requests that the next version gets.
   double share = 0;
   // Whether other versions may get requests.
-  bool others = true;
+  bool allow_others = true;
   // Whether the next version may get requests if no other version has a target.
-  bool next_alone = true;
+  bool allow_next_alone = true;
   // Versions that get no requests.
   std::set<VersionName> barred;
 
@@ -67,11 +67,11 @@
   // Whether a request may go to the version at all, whatever the turn.
   bool Admits(const VersionName& version) const {
     if (rule_.barred.contains(version)) return false;
-    if (IsNext(version)) return rule_.share > 0 || rule_.next_alone;
-    return rule_.others;
+    if (IsNext(version)) return rule_.share > 0 || rule_.allow_next_alone;
+    return rule_.allow_others;
   }
   VersionTurn Turn() const {
-    if (rule_.next.empty() || !rule_.others) return VersionTurn::kAny;
+    if (rule_.next.empty() || !rule_.allow_others) return VersionTurn::kAny;
     const double due = rule_.share * (static_cast<double>(sent_) + 1) + offset_;
     return static_cast<double>(sent_next_) + 1 <= due ? VersionTurn::kNext
                                                       : VersionTurn::kOthers;
--- a/relay/attempt.cc
+++ b/relay/attempt.cc
@@ -76,7 +76,7 @@
                                 PlacementOutcome::kFailed};
   if (facts.end == CallEnd::kBroken) return failed;
   if (facts.answer.not_run) {
-    return {false, Ran::kNo, PlacementOutcome::kTurnedAway};
+    return {false, Ran::kNo, PlacementOutcome::kRefused};
   }
   if (!MayForward(facts.status, facts.answer.sealed)) return failed;
   if (facts.in_event) return failed;
--- a/relay/config_follower.h
+++ b/relay/config_follower.h
@@ -121,7 +121,7 @@
   // The item that `map_` was read from; it is sent to peers.
   StoreItem item_;
   ClosedHalls halls_;
-  OrderBook orders_;
+  RolloutOrders orders_;
   StateFeed feed_;
   std::unique_ptr<Timer> request_timer_;
   // Runs while the state of the halls differs from the store's.
--- a/relay/crash_reports.cc
+++ b/relay/crash_reports.cc
@@ -34,7 +34,7 @@
   out.target = TargetStart(NameFromJson(json.at(1)));
   out.at = TimeFromJson(json.at(2));
   const auto ms = json.at(3).get<std::int64_t>();
-  out.begun_for = milliseconds(std::clamp<std::int64_t>(ms, 0, kMaxSpanMs));
+  out.run_time = milliseconds(std::clamp<std::int64_t>(ms, 0, kMaxSpanMs));
   return out;
 }
 
@@ -57,7 +57,7 @@
 std::string EncodeCrashReports(const CrashReports& reports) {
   Json crashes = Json::array();
   for (const CrashReport& it : reports.crashes) {
-    const auto ms = std::chrono::duration_cast<milliseconds>(it.begun_for);
+    const auto ms = std::chrono::duration_cast<milliseconds>(it.run_time);
     crashes.push_back(
         {it.request.value, it.target.value, TimeToJson(it.at), ms.count()});
   }
--- a/relay/dialect.h
+++ b/relay/dialect.h
@@ -111,11 +111,11 @@
 };
 
 // The stored status of a service's roll-out to another version: started
-// (kBegun), or how it ended (kCompleted, kReverted).
+// (kStarted), or how it ended (kCompleted, kReverted).
 struct RolloutStatus {
   ServiceName service;
   VersionName version;
-  RolloutEvent said = RolloutEvent::kBegun;
+  RolloutEvent said = RolloutEvent::kStarted;
 };
 
 // Reads the items that operators and targets keep in the store.
--- a/relay/peer_messages.cc
+++ b/relay/peer_messages.cc
@@ -176,7 +176,7 @@
 Json RoutesToJson(const RoutesEvidence& routes) {
   Json out = Json::object();
   for (const auto& [route, it] : routes) {
-    out[route] = {it.answers, it.failed, HistogramToJson(it.first),
+    out[route] = {it.answers, it.failed, HistogramToJson(it.first_event),
                   HistogramToJson(it.pause)};
   }
   return out;
@@ -188,7 +188,7 @@
     RouteEvidence& it = out[route];
     it.answers = fields.at(0).get<std::uint64_t>();
     it.failed = fields.at(1).get<std::uint64_t>();
-    it.first = HistogramFromJson(fields.at(2));
+    it.first_event = HistogramFromJson(fields.at(2));
     it.pause = HistogramFromJson(fields.at(3));
   }
   return out;
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -286,7 +286,7 @@
   };
   out.running_elsewhere = [this](const ServiceName& service,
                                  const VersionName& version) {
-    return placement_.RunningElsewhere(service, version);
+    return placement_.RunningAtOtherVersions(service, version);
   };
   out.is_decider = [this](const Incarnation& peer) {
     const FleetDirectory& directory = fleet_.directory();
@@ -298,13 +298,13 @@
 
 // A router whose list hasn't settled may take a large fleet for a small one, so
 // it decides nothing.
-RolloutScene RelayRouter::SceneOfRollouts() const {
+RolloutContext RelayRouter::SceneOfRollouts() const {
   const FleetDirectory& directory = fleet_.directory();
   const VmName& self = directory.self().vm;
   const bool small = directory.IsSmall();
-  RolloutScene out;
+  RolloutContext out;
   out.self = self;
-  out.decides = fleet_.settled() && (small || directory.IsReader(self));
+  out.is_decider = fleet_.settled() && (small || directory.IsReader(self));
   out.deciders = small ? directory.size() : directory.readers();
   out.routers = directory.size();
   const auto readers = LinkedReaders();
@@ -379,7 +379,7 @@
   peers_.KeepLinksTo(directory.MembersToLink());
   SetFeedRoles();
   if (!fleet_.settled()) return;
-  placement_.SetPlaces([this](const TargetStart& it) {
+  placement_.SetPlaceLookup([this](const TargetStart& it) {
     return fleet_.directory().PlaceFor(it.value);
   });
   budgets_.JoinIfHolder();
@@ -428,7 +428,7 @@
 
 // Peers may have no other way to learn of it while the store is away.
 void RelayRouter::OnTargetLeaving(const TargetEntry& target) {
-  placement_.OnSaysLeaving(clock_.Now(), target);
+  placement_.OnLeavingAnnounced(clock_.Now(), target);
   if (targets_.OnLeavingNotice(target)) peers_.BroadcastHeartbeat();
 }
 
@@ -454,7 +454,7 @@
   const bool forwards = directory.IsReader(directory.self().vm);
   PeerMessage out;
   out.kind = PeerMessageKind::kRateLimits;
-  out.rate_limits = placement_.TakeUntoldRates(clock_.Now(), forwards);
+  out.rate_limits = placement_.TakeUnreportedRates(clock_.Now(), forwards);
   if (!out.rate_limits.empty()) Broadcast(std::move(out));
 }
 
@@ -485,7 +485,7 @@
   message.targets_revision = targets_.revision();
   message.leaving = targets_.registry().announced_leaving();
   message.keeps_budgets = budgets_.ledger().ActsAsHolder();
-  message.engine_speeds = placement_.Learned();
+  message.engine_speeds = placement_.LearnedSpeeds();
   rollouts_.Fill(message);
   FillMarks(message);
   if (message.kind != PeerMessageKind::kHello) return;
@@ -560,7 +560,7 @@
   for (const Placement::ColdChange& it : placement_.ColdChanges(clock_.Now())) {
     LogEvent(
         it.cold ? Event::kTargetCold : Event::kTargetWarm,
-        {{"target", it.target.value}, {"by", std::string(NameOf(it.sign))}});
+        {{"target", it.target.value}, {"by", std::string(NameOf(it.reason))}});
   }
 }
 
--- a/relay/relay_router.h
+++ b/relay/relay_router.h
@@ -90,7 +90,7 @@
   TargetFollower::Handlers TargetHandlers();
   CrashWatch::Handlers CrashHandlers();
   RolloutDriver::Handlers RolloutHandlers();
-  RolloutScene SceneOfRollouts() const;
+  RolloutContext SceneOfRollouts() const;
   std::array<StateFeed*, 3> Feeds();
   PeerMesh::Handlers PeerHandlers();
   PlannedStop::Handlers StopHandlers();
--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -194,7 +194,7 @@
 }
 
 void RelayedRequest::AnnouncePrompt() const {
-  if (!context_.placement.IsWorthTelling(admission_.placement, prefill_))
+  if (!context_.placement.IsWorthReporting(admission_.placement, prefill_))
     return;
   context_.tell_peers({progress_.choice.target.name, prefill_});
 }
@@ -458,9 +458,9 @@
       has_head && !answer_facts_.not_run && IsServerError(answer_.status);
   const bool failed = outcome == PlacementOutcome::kFailed || error;
   if (!failed && outcome != PlacementOutcome::kGood) return;
-  AnswerSeen seen;
+  AttemptOutcome seen;
   seen.failed = failed;
-  if (!failed && has_head) seen.first = FirstOverExpected();
+  if (!failed && has_head) seen.first_event = FirstOverExpected();
   if (first_event_at_ && attempt_events_ >= kMinEventsForMeanPause) {
     seen.pause = ToSeconds(last_event_at_ - *first_event_at_) * 1000 /
                  (attempt_events_ - 1);
--- a/relay/rollout_driver.cc
+++ b/relay/rollout_driver.cc
@@ -50,7 +50,7 @@
   Entry& entry = entries_[service];
   if (order == nullptr) {
     EndOrder(entry);
-  } else if (entry.rollout && entry.rollout->order().SameAs(*order) &&
+  } else if (entry.rollout && entry.rollout->order().IsEquivalentTo(*order) &&
              order->revision.era > entry.rollout->order().revision.era) {
     entry.rollout->Renew(*order);
     Redeclare(entry);
@@ -64,7 +64,7 @@
 void RolloutDriver::Begin(Entry& entry, const RolloutOrder& order) {
   entry.barred.erase(order.version);
   entry.rollout.emplace(order, context_.clock.Now(), context_.chart, options_);
-  entry.logged = RolloutState::kUnheard;
+  entry.logged = RolloutState::kUnconfirmed;
 }
 
 void RolloutDriver::EndOrder(Entry& entry) {
@@ -88,12 +88,13 @@
 
 bool RolloutDriver::IsJudging(const ServiceName& service) const {
   const Rollout* it = Find(service);
-  return it != nullptr && it->IsJudged();
+  return it != nullptr && it->IsEvaluated();
 }
 
 void RolloutDriver::OnAnswer(const ServiceName& service,
                              const VersionName& version,
-                             const std::string& route, const AnswerSeen& seen) {
+                             const std::string& route,
+                             const AttemptOutcome& seen) {
   const auto it = entries_.find(service);
   if (it == entries_.end() || !it->second.rollout) return;
   Rollout& rollout = *it->second.rollout;
@@ -120,11 +121,12 @@
   }
 }
 
-RolloutScene RolloutDriver::SceneOf(const Rollout& rollout) const {
+RolloutContext RolloutDriver::SceneOf(const Rollout& rollout) const {
   const RolloutOrder& order = rollout.order();
-  RolloutScene out = on_.scene();
+  RolloutContext out = on_.scene();
   out.has_next = on_.has_version(order.service, order.version);
-  out.running_elsewhere = on_.running_elsewhere(order.service, order.version);
+  out.running_at_other_versions =
+      on_.running_elsewhere(order.service, order.version);
   return out;
 }
 
@@ -164,8 +166,8 @@
         entry.rollout->Rule(context_.clock.Now(), SceneOf(*entry.rollout));
     rule.next = entry.rollout->order().version;
     rule.share = it.share;
-    rule.others = it.others;
-    rule.next_alone = it.next_alone;
+    rule.allow_others = it.allow_others;
+    rule.allow_next_alone = it.allow_next_alone;
   }
   if (rule == entry.rule) return;
   entry.rule = rule;
@@ -178,23 +180,23 @@
   const Rollout& rollout = *entry.rollout;
   if (rollout.state() == entry.logged) return;
   entry.logged = rollout.state();
-  const RolloutScene scene = SceneOf(rollout);
+  const RolloutContext scene = SceneOf(rollout);
   const VersionEvidence total = rollout.Total(scene);
-  const VersionJudge::Finding& worst = rollout.judge().worst();
+  const VersionEvaluator::Finding& worst = rollout.evaluator().worst();
   LogEvent(Event::kRolloutState,
            {{"service", service.value},
             {"version", rollout.order().version.value},
             {"state", std::string(NameOf(rollout.state()))},
-            {"decides", scene.decides ? "yes" : "no"},
+            {"decides", scene.is_decider ? "yes" : "no"},
             {"answers", std::to_string(AnswersOf(total.next))},
             {"answers_elsewhere", std::to_string(AnswersOf(total.current))},
             {"route", worst.route},
             {"symptom", std::string(NameOf(worst.symptom))},
             {"bad", std::to_string(worst.bad)},
             {"of", std::to_string(worst.answers)},
-            {"usual", std::to_string(worst.usual)},
+            {"usual", std::to_string(worst.baseline)},
             {"sum", std::to_string(worst.sum)}});
-  if (scene.decides) on_.broadcast_heartbeat();
+  if (scene.is_decider) on_.broadcast_heartbeat();
 }
 
 // --- The status in the store -------------------------------------------------
@@ -209,12 +211,12 @@
 // Requests a write that another decider may have started and not finished.
 void RolloutDriver::RequestMissingWrite(Entry& entry) {
   const RolloutState state = entry.rollout->state();
-  if (!SceneOf(*entry.rollout).decides) return entry.pending.reset();
-  if (state == RolloutState::kUnheard) {
-    RequestWrite(entry, RolloutEvent::kBegun);
+  if (!SceneOf(*entry.rollout).is_decider) return entry.pending.reset();
+  if (state == RolloutState::kUnconfirmed) {
+    RequestWrite(entry, RolloutEvent::kStarted);
   } else if (state == RolloutState::kWithdrawn) {
     RequestWrite(entry, RolloutEvent::kReverted);
-  } else if (entry.pending == RolloutEvent::kBegun &&
+  } else if (entry.pending == RolloutEvent::kStarted &&
              entry.written.number != 0) {
     entry.pending.reset();
   }
@@ -275,8 +277,8 @@
     if (!is_of_order) continue;
     const RolloutEvent event = status->said;
     entry.rollout->OnStored(event, context_.clock.Now());
-    const bool is_there =
-        event != RolloutEvent::kBegun || entry.pending == RolloutEvent::kBegun;
+    const bool is_there = event != RolloutEvent::kStarted ||
+                          entry.pending == RolloutEvent::kStarted;
     if (is_there) entry.pending.reset();
   }
   entry.write_at = context_.clock.Now();
@@ -293,7 +295,7 @@
 // The status of an order only counts if it was written after the order.
 void RolloutDriver::Redeclare(Entry& entry) {
   switch (entry.rollout->state()) {
-    case RolloutState::kUnheard:
+    case RolloutState::kUnconfirmed:
       return;
     case RolloutState::kCompleted:
       return RequestWrite(entry, RolloutEvent::kCompleted);
@@ -301,7 +303,7 @@
     case RolloutState::kWithdrawn:
       return RequestWrite(entry, RolloutEvent::kReverted);
     default:
-      return RequestWrite(entry, RolloutEvent::kBegun);
+      return RequestWrite(entry, RolloutEvent::kStarted);
   }
 }
 
--- a/relay/rollout_driver.h
+++ b/relay/rollout_driver.h
@@ -64,7 +64,7 @@
         rule;
     // The scene by this router's list of routers; the two handlers below fill
     // in `has_next` and `running_elsewhere`.
-    std::function<RolloutScene()> scene;
+    std::function<RolloutContext()> scene;
     std::function<bool(const ServiceName&, const VersionName&)> has_version;
     std::function<std::size_t(const ServiceName&, const VersionName&)>
         running_elsewhere;
@@ -81,7 +81,7 @@
   // Whether answers of the service are to be passed to `OnAnswer`.
   bool IsJudging(const ServiceName& service) const;
   void OnAnswer(const ServiceName& service, const VersionName& version,
-                const std::string& route, const AnswerSeen& seen);
+                const std::string& route, const AttemptOutcome& seen);
   void OnPeer(const PeerMessage& message);
   void OnStoreEra();
   void Check();
@@ -98,7 +98,7 @@
     // Earlier versions that were not completed.
     std::set<VersionName> barred;
     VersionRule rule;
-    RolloutState logged = RolloutState::kUnheard;
+    RolloutState logged = RolloutState::kUnconfirmed;
 
     // The status to be written, and the time from which this router writes it.
     std::optional<RolloutEvent> pending;
@@ -108,7 +108,7 @@
     KvStore::CallPtr call;
   };
 
-  RolloutScene SceneOf(const Rollout& rollout) const;
+  RolloutContext SceneOf(const Rollout& rollout) const;
   void CheckOne(const ServiceName& service, Entry& entry);
   void Begin(Entry& entry, const RolloutOrder& order);
   void EndOrder(Entry& entry);
--- a/relay/testing/attempt_test.cc
+++ b/relay/testing/attempt_test.cc
@@ -147,7 +147,7 @@
     {"broken within a refusal", NotRun(CallEnd::kBroken), false, Ran::kUnknown,
      PlacementOutcome::kFailed},
     {"turned away", NotRun(CallEnd::kComplete), false, Ran::kNo,
-     PlacementOutcome::kTurnedAway},
+     PlacementOutcome::kRefused},
     {"without a seal", Facts(CallEnd::kComplete, 200, false), false,
      Ran::kUnknown, PlacementOutcome::kFailed},
     {"ended within an event", InEvent(), false, Ran::kUnknown,
--- a/relay/testing/rollout_fleet_test.cc
+++ b/relay/testing/rollout_fleet_test.cc
@@ -249,14 +249,14 @@
     const RolloutOrder order{kService, kNext, seconds(12), 5};
     it.driver->OnOrder(kService, &order);
   }
-  RolloutScene SceneOf(int n) const {
-    RolloutScene out;
+  RolloutContext SceneOf(int n) const {
+    RolloutContext out;
     out.self = Vm(n);
-    out.decides = Decides(n);
+    out.is_decider = Decides(n);
     out.deciders = static_cast<std::size_t>(
         spec_.deciders == 0 ? spec_.routers : spec_.deciders);
     out.routers = static_cast<std::size_t>(spec_.routers);
-    if (!out.decides) out.counted_by = Vm(n % spec_.deciders);
+    if (!out.is_decider) out.counted_by = Vm(n % spec_.deciders);
     return out;
   }
 
@@ -351,8 +351,9 @@
     if (IsFrozen(it)) return;
     ++requests_;
     const VersionTurn turn = it.gate.Turn();
-    const bool is_next = turn == VersionTurn::kNext ||
-                         (turn == VersionTurn::kAny && !it.gate.rule().others);
+    const bool is_next =
+        turn == VersionTurn::kNext ||
+        (turn == VersionTurn::kAny && !it.gate.rule().allow_others);
     it.gate.OnSent(is_next ? kNext : VersionName("v1"));
     RunningRequest sending{clock_.now + spec_.answer_time, it.n, it.life,
                            is_next, false};
@@ -379,9 +380,9 @@
       if (it.fails && ++bad_ == kBadAnswers) bad_at_ = clock_.now;
       if (router.life != it.life) continue;
       if (!it.is_next) --router.running_elsewhere;
-      AnswerSeen seen;
+      AttemptOutcome seen;
       seen.failed = it.fails;
-      seen.first = 1.0;
+      seen.first_event = 1.0;
       if (router.driver->IsJudging(kService)) {
         router.driver->OnAnswer(
             kService, it.is_next ? kNext : VersionName("v1"), "review", seen);
--- a/rollout/evidence.cc
+++ b/rollout/evidence.cc
@@ -18,7 +18,7 @@
     RouteEvidence& out = At(into, route);
     out.answers += it.answers;
     out.failed += it.failed;
-    out.first.Merge(it.first);
+    out.first_event.Merge(it.first_event);
     out.pause.Merge(it.pause);
   }
 }
@@ -26,11 +26,11 @@
 }  // namespace
 
 void VersionEvidence::Add(const std::string& route, bool is_next,
-                          const AnswerSeen& outcome) {
+                          const AttemptOutcome& outcome) {
   RouteEvidence& out = At(is_next ? next : current, route);
   ++out.answers;
   if (outcome.failed) ++out.failed;
-  if (outcome.first) out.first.Add(*outcome.first);
+  if (outcome.first_event) out.first_event.Add(*outcome.first_event);
   if (outcome.pause) out.pause.Add(*outcome.pause);
 }
 
--- a/rollout/evidence.h
+++ b/rollout/evidence.h
@@ -23,12 +23,12 @@
 namespace quaytrack {
 
 // How one attempt at a target ended.
-struct AnswerSeen {
+struct AttemptOutcome {
   // The target failed: it answered with an error of its own, or not completely.
   bool failed = false;
   // Time until the answer began, divided by the time expected for the tokens to
   // be prefilled; in milliseconds if no time is expected.
-  std::optional<double> first;
+  std::optional<double> first_event;
   // Milliseconds between two events, on average.
   std::optional<double> pause;
 };
@@ -36,7 +36,7 @@
 struct RouteEvidence {
   std::uint64_t answers = 0;
   std::uint64_t failed = 0;
-  TimeHistogram first;
+  TimeHistogram first_event;
   TimeHistogram pause;
 
   bool operator==(const RouteEvidence&) const = default;
@@ -51,7 +51,8 @@
   RoutesEvidence next;
   RoutesEvidence current;
 
-  void Add(const std::string& route, bool is_next, const AnswerSeen& outcome);
+  void Add(const std::string& route, bool is_next,
+           const AttemptOutcome& outcome);
   void Merge(const VersionEvidence& other);
 
   bool operator==(const VersionEvidence&) const = default;
--- a/rollout/order_book.h
+++ b/rollout/order_book.h
@@ -27,7 +27,7 @@
 
 namespace quaytrack {
 
-class OrderBook {
+class RolloutOrders {
  public:
   // Takes all orders in the store as of `revision`. Returns the services whose
   // order is new, changed or removed.
--- a/rollout/rollout.cc
+++ b/rollout/rollout.cc
@@ -38,7 +38,7 @@
 
 void Rollout::OnReport(Instant now, const Incarnation& from, bool from_decider,
                        const RolloutReport& report,
-                       const RolloutScene& context) {
+                       const RolloutContext& context) {
   const bool is_this =
       report.version == order_.version && report.order == order_.revision;
   if (!is_this) return;
@@ -54,7 +54,7 @@
 
 void Rollout::Follow(RolloutState reported, Instant now) {
   switch (reported) {
-    case RolloutState::kUnheard:
+    case RolloutState::kUnconfirmed:
       return;
     case RolloutState::kCompleted:
       Apply(RolloutEvent::kCompleted, now);
@@ -66,7 +66,8 @@
       Apply(RolloutEvent::kWithdraw, now);
       return;
     default:
-      if (state() == RolloutState::kUnheard) Apply(RolloutEvent::kBegun, now);
+      if (state() == RolloutState::kUnconfirmed)
+        Apply(RolloutEvent::kStarted, now);
       while (state() < reported && state() < RolloutState::kFull) {
         Apply(RolloutEvent::kAdvance, now);
       }
@@ -80,22 +81,22 @@
 }
 
 bool Rollout::IsAssigned(const ReceivedReport& it,
-                         const RolloutScene& context) const {
+                         const RolloutContext& context) const {
   return it.report.counted_by == context.self;
 }
 
-bool Rollout::IsCurrent(Instant now, const RolloutScene& context) const {
+bool Rollout::IsCurrent(Instant now, const RolloutContext& context) const {
   const auto reporting =
       std::count_if(reports_.begin(), reports_.end(), [now](const auto& it) {
         return it.second.from_decider && now - it.second.at <= kDeciderTimeout;
       });
-  if (!context.decides) return reporting > 0;
+  if (!context.is_decider) return reporting > 0;
   return (static_cast<std::size_t>(reporting) + 1) * 2 > context.deciders;
 }
 
 // --- Sums --------------------------------------------------------------------
 
-VersionEvidence Rollout::Total(const RolloutScene& context) const {
+VersionEvidence Rollout::Total(const RolloutContext& context) const {
   VersionEvidence out = local_evidence_;
   for (const auto& [from, it] : reports_) {
     const bool is_sum = it.report.counted_by.empty();
@@ -104,11 +105,13 @@
   return out;
 }
 
-bool Rollout::IsDrainedHere(const RolloutScene& context) const {
-  return state() == RolloutState::kFull && context.running_elsewhere == 0;
+bool Rollout::IsDrainedHere(const RolloutContext& context) const {
+  return state() == RolloutState::kFull &&
+         context.running_at_other_versions == 0;
 }
 
-RolloutReport Rollout::Report(Instant now, const RolloutScene& context) const {
+RolloutReport Rollout::Report(Instant now,
+                              const RolloutContext& context) const {
   RolloutReport out;
   out.version = order_.version;
   out.order = order_.revision;
@@ -117,7 +120,7 @@
   if (IsOver()) return out;
   out.evidence = local_evidence_;
   out.drained = IsDrainedHere(context);
-  if (!context.decides) {
+  if (!context.is_decider) {
     out.counted_by = context.counted_by;
     return out;
   }
@@ -132,7 +135,7 @@
 
 // Routers without a report are waited for until `kReportTimeout` has passed
 // since the last change of state.
-bool Rollout::IsDrained(Instant now, const RolloutScene& context) const {
+bool Rollout::IsDrained(Instant now, const RolloutContext& context) const {
   const RolloutReport local = Report(now, context);
   if (!local.drained) return false;
   std::uint64_t routers = local.routers;
@@ -146,12 +149,12 @@
 
 // --- Decisions ---------------------------------------------------------------
 
-RolloutAction Rollout::Step(Instant now, const RolloutScene& context) {
+RolloutAction Rollout::Step(Instant now, const RolloutContext& context) {
   ForgetSilent(now);
-  if (!context.decides || IsOver() || state() == RolloutState::kWithdrawn) {
+  if (!context.is_decider || IsOver() || state() == RolloutState::kWithdrawn) {
     return RolloutAction::kNone;
   }
-  if (IsJudged()) {
+  if (IsEvaluated()) {
     evaluator_.Observe(Total(context));
     if (evaluator_.IsBad()) return Apply(RolloutEvent::kWithdraw, now);
   }
@@ -175,7 +178,7 @@
   }
 }
 
-RolloutAction Rollout::StepOfTrial(Instant now, const RolloutScene& context) {
+RolloutAction Rollout::StepOfTrial(Instant now, const RolloutContext& context) {
   if (!context.has_next) return RolloutAction::kNone;
   const Duration elapsed = Elapsed(now);
   const bool is_good =
@@ -192,7 +195,7 @@
   return Apply(RolloutEvent::kAdvance, now);
 }
 
-RolloutRule Rollout::Rule(Instant now, const RolloutScene& context) const {
+RolloutRule Rollout::Rule(Instant now, const RolloutContext& context) const {
   RolloutRule out;
   switch (state()) {
     case RolloutState::kCompleted:
@@ -200,7 +203,7 @@
     case RolloutState::kWithdrawn:
     case RolloutState::kReverted:
       return {0, true, false};
-    case RolloutState::kUnheard:
+    case RolloutState::kUnconfirmed:
       return out;
     default:
       break;
--- a/rollout/rollout.h
+++ b/rollout/rollout.h
@@ -61,7 +61,7 @@
 struct RolloutReport {
   VersionName version;
   StoreRevision order;
-  RolloutState state = RolloutState::kUnheard;
+  RolloutState state = RolloutState::kUnconfirmed;
   // Time left of the duration of the order.
   Duration left{};
   // The decider that adds up this report; empty for the sum of a decider.
@@ -75,10 +75,10 @@
 };
 
 // The state of the router that a Rollout needs to know.
-struct RolloutScene {
+struct RolloutContext {
   VmName self;
   // This router is a decider.
-  bool decides = false;
+  bool is_decider = false;
   // Number of deciders and of routers, including this one.
   std::size_t deciders = 1;
   std::size_t routers = 1;
@@ -88,16 +88,16 @@
   // Some target of the version accepts work.
   bool has_next = false;
   // This router's requests that run at other versions.
-  std::size_t running_elsewhere = 0;
+  std::size_t running_at_other_versions = 0;
 };
 
 // Which share of the requests of a service may go to which version.
 struct RolloutRule {
   double share = 0;
   // Whether versions other than the next one may get requests.
-  bool others = true;
+  bool allow_others = true;
   // Whether the next version may get requests if no other version has a target.
-  bool next_alone = true;
+  bool allow_next_alone = true;
 
   bool operator==(const RolloutRule&) const = default;
 };
@@ -132,33 +132,33 @@
            state() == RolloutState::kReverted;
   }
   // Whether answers are evaluated in this state.
-  bool IsJudged() const {
-    return !IsOver() && state() != RolloutState::kUnheard &&
+  bool IsEvaluated() const {
+    return !IsOver() && state() != RolloutState::kUnconfirmed &&
            state() != RolloutState::kWithdrawn;
   }
-  const VersionJudge& judge() const { return evaluator_; }
+  const VersionEvaluator& evaluator() const { return evaluator_; }
 
   // The same order was written again in a later era of the store.
   void Renew(const RolloutOrder& order) { order_ = order; }
   void OnAnswer(const std::string& route, bool is_next,
-                const AnswerSeen& outcome) {
+                const AttemptOutcome& outcome) {
     local_evidence_.Add(route, is_next, outcome);
   }
   // `from_decider` is decided by the router list of this router. Reports on
   // another order are ignored.
   void OnReport(Instant now, const Incarnation& from, bool from_decider,
-                const RolloutReport& report, const RolloutScene& context);
+                const RolloutReport& report, const RolloutContext& context);
   // The store lists the order as running, completed or rolled back.
   RolloutAction OnStored(RolloutEvent event, Instant now) {
     return Apply(event, now);
   }
   // Returns what is to be written to the store, if anything.
-  RolloutAction Step(Instant now, const RolloutScene& context);
+  RolloutAction Step(Instant now, const RolloutContext& context);
 
-  RolloutRule Rule(Instant now, const RolloutScene& context) const;
-  RolloutReport Report(Instant now, const RolloutScene& context) const;
+  RolloutRule Rule(Instant now, const RolloutContext& context) const;
+  RolloutReport Report(Instant now, const RolloutContext& context) const;
   // All evidence that is known to this router.
-  VersionEvidence Total(const RolloutScene& context) const;
+  VersionEvidence Total(const RolloutContext& context) const;
 
  private:
   struct ReceivedReport {
@@ -170,13 +170,14 @@
   RolloutAction Apply(RolloutEvent event, Instant now);
   void Follow(RolloutState reported, Instant now);
   void ForgetSilent(Instant now);
-  bool IsCurrent(Instant now, const RolloutScene& context) const;
-  bool IsAssigned(const ReceivedReport& it, const RolloutScene& context) const;
-  bool IsDrained(Instant now, const RolloutScene& context) const;
-  bool IsDrainedHere(const RolloutScene& context) const;
+  bool IsCurrent(Instant now, const RolloutContext& context) const;
+  bool IsAssigned(const ReceivedReport& it,
+                  const RolloutContext& context) const;
+  bool IsDrained(Instant now, const RolloutContext& context) const;
+  bool IsDrainedHere(const RolloutContext& context) const;
   Duration ShareOfDuration(double share) const;
   Duration Elapsed(Instant now) const;
-  RolloutAction StepOfTrial(Instant now, const RolloutScene& context);
+  RolloutAction StepOfTrial(Instant now, const RolloutContext& context);
   RolloutAction StepOfMove(Instant now);
 
   RolloutOrder order_;
@@ -187,7 +188,7 @@
   Instant changed_at_;
   VersionEvidence local_evidence_;
   std::map<Incarnation, ReceivedReport> reports_;
-  VersionJudge evaluator_;
+  VersionEvaluator evaluator_;
 };
 
 }  // namespace quaytrack
--- a/rollout/rollout_chart.h
+++ b/rollout/rollout_chart.h
@@ -23,7 +23,7 @@
 namespace quaytrack {
 
 enum class RolloutState {
-  kUnheard,
+  kUnconfirmed,
   kTrial,
   kQuarter,
   kHalf,
@@ -33,7 +33,7 @@
   kReverted,
 };
 enum class RolloutEvent {
-  kBegun,      // the store lists the order as running
+  kStarted,    // the store lists the order as running
   kAdvance,    // the version may get a larger share
   kDrained,    // no router has requests running at the other versions
   kWithdraw,   // the version is bad, or the time is over
@@ -49,7 +49,7 @@
 template <>
 struct EnumTable<RolloutState> {
   static constexpr auto kEntries = std::to_array<EnumEntry<RolloutState>>(
-      {{RolloutState::kUnheard, "unheard"},
+      {{RolloutState::kUnconfirmed, "unheard"},
        {RolloutState::kTrial, "trial"},
        {RolloutState::kQuarter, "quarter"},
        {RolloutState::kHalf, "half"},
@@ -62,7 +62,7 @@
 template <>
 struct EnumTable<RolloutEvent> {
   static constexpr auto kEntries = std::to_array<EnumEntry<RolloutEvent>>(
-      {{RolloutEvent::kBegun, "begun"},
+      {{RolloutEvent::kStarted, "begun"},
        {RolloutEvent::kAdvance, "advance"},
        {RolloutEvent::kDrained, "drained"},
        {RolloutEvent::kWithdraw, "withdraw"},
--- a/rollout/rollout_order.h
+++ b/rollout/rollout_order.h
@@ -30,7 +30,7 @@
   StoreRevision revision;
 
   // Whether both orders request the same move; the revision may differ.
-  bool SameAs(const RolloutOrder& other) const {
+  bool IsEquivalentTo(const RolloutOrder& other) const {
     return service == other.service && version == other.version &&
            duration == other.duration;
   }
--- a/rollout/testing/order_book_test.cc
+++ b/rollout/testing/order_book_test.cc
@@ -14,7 +14,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(OrdersComeChangeAndGo) {
-  OrderBook it;
+  RolloutOrders it;
   BOOST_TEST(it.Replace({}, 1).empty());
   BOOST_TEST(it.Put(Order("v2", 2)));
   BOOST_TEST((it.Find(kService)->version == VersionName("v2")));
@@ -28,7 +28,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(AReadingTakesBackWhatItDoesntHave) {
-  OrderBook it;
+  RolloutOrders it;
   it.Replace({Order("v2", 2)}, 2);
   BOOST_TEST(it.Replace({}, 5).size() == 1U);
   BOOST_TEST(it.Find(kService) == nullptr);
@@ -36,7 +36,7 @@
 
 // The restored copy may be older than the order, and operators write it again.
 BOOST_AUTO_TEST_CASE(AStoreThatCameBackOlderTakesNoOrderBackAtOnce) {
-  OrderBook it;
+  RolloutOrders it;
   it.Replace({Order("v2", {1, 20})}, {1, 20});
   BOOST_TEST(it.Replace({}, {2, 5}).empty());
   BOOST_TEST(it.Find(kService) != nullptr);
@@ -48,7 +48,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(WhatIsntWrittenAgainIsGone) {
-  OrderBook it;
+  RolloutOrders it;
   it.Replace({Order("v2", {1, 20})}, {1, 20});
   it.Replace({}, {2, 5});
   BOOST_TEST(it.DropCarried().size() == 1U);
--- a/rollout/testing/rollout_test.cc
+++ b/rollout/testing/rollout_test.cc
@@ -26,7 +26,7 @@
 struct Fixture {
   Fixture() {
     context.self = VmName("vm-1");
-    context.decides = true;
+    context.is_decider = true;
     context.has_next = true;
   }
 
@@ -34,7 +34,7 @@
   // failed.
   void AddAnswers(int n, int failed) {
     for (int i = 0; i < n; ++i) {
-      AnswerSeen seen;
+      AttemptOutcome seen;
       seen.failed = i < failed;
       it.OnAnswer("review", true, seen);
       it.OnAnswer("review", false, {});
@@ -46,7 +46,7 @@
   double ShareAt(Duration after) const {
     return it.Rule(kStart + after, context).share;
   }
-  void Begin() { it.OnStored(RolloutEvent::kBegun, kStart); }
+  void Begin() { it.OnStored(RolloutEvent::kStarted, kStart); }
   // Brings a good version to its full share.
   void ReachFullShare() {
     Begin();
@@ -65,13 +65,13 @@
     return out;
   }
 
-  RolloutScene context;
+  RolloutContext context;
   Rollout it{Order(), kStart, TheChart(), {0.06}};
 };
 
 BOOST_FIXTURE_TEST_CASE(NothingGoesThereBeforeTheStoreNamesIt, Fixture) {
   BOOST_TEST(ShareAt(seconds(1)) == 0);
-  BOOST_TEST(it.Rule(kStart, context).next_alone);
+  BOOST_TEST(it.Rule(kStart, context).allow_next_alone);
   Begin();
   BOOST_TEST(ShareAt(seconds(1)) == 0.06);
 }
@@ -89,18 +89,18 @@
   BOOST_TEST(ShareAt(seconds(8)) == 0.5);
   StepAt(milliseconds(8800));
   BOOST_TEST(ShareAt(seconds(9)) == 1);
-  BOOST_TEST(!it.Rule(kStart + seconds(9), context).others);
+  BOOST_TEST(!it.Rule(kStart + seconds(9), context).allow_others);
 }
 
 BOOST_FIXTURE_TEST_CASE(ItIsCompletedOnceNothingRunsElsewhere, Fixture) {
   ReachFullShare();
-  context.running_elsewhere = 1;
+  context.running_at_other_versions = 1;
   BOOST_TEST((StepAt(seconds(13)) == RolloutAction::kNone));
-  context.running_elsewhere = 0;
+  context.running_at_other_versions = 0;
   BOOST_TEST((StepAt(seconds(13)) == RolloutAction::kReportCompleted));
   it.OnStored(RolloutEvent::kCompleted, kStart + seconds(13));
   BOOST_TEST(it.IsOver());
-  BOOST_TEST(!it.Rule(kStart + seconds(14), context).others);
+  BOOST_TEST(!it.Rule(kStart + seconds(14), context).allow_others);
 }
 
 BOOST_FIXTURE_TEST_CASE(ABadVersionIsWithdrawnAtEachStep, Fixture) {
@@ -112,7 +112,7 @@
   BOOST_TEST((StepAt(seconds(7)) == RolloutAction::kReportReverted));
   const RolloutRule rule = it.Rule(kStart + seconds(7), context);
   BOOST_TEST(rule.share == 0);
-  BOOST_TEST(!rule.next_alone);
+  BOOST_TEST(!rule.allow_next_alone);
 }
 
 BOOST_FIXTURE_TEST_CASE(WithoutAnswersNothingMovesUntilTheTimeIsOver, Fixture) {
@@ -141,13 +141,13 @@
 // deadline.
 BOOST_FIXTURE_TEST_CASE(AMoveThatIsLateIsStillFinished, Fixture) {
   ReachFullShare();
-  context.running_elsewhere = 1;
+  context.running_at_other_versions = 1;
   BOOST_TEST((StepAt(seconds(30)) == RolloutAction::kNone));
   BOOST_TEST((it.state() == RolloutState::kFull));
 }
 
 BOOST_FIXTURE_TEST_CASE(OthersAreFollowedForwardsOnly, Fixture) {
-  context.decides = false;
+  context.is_decider = false;
   it.OnReport(kStart, kPeer, true, PeerReport(RolloutState::kHalf), context);
   BOOST_TEST(ShareAt(seconds(1)) == 0.5);
   it.OnReport(kStart, kPeer, true, PeerReport(RolloutState::kTrial), context);
@@ -161,11 +161,11 @@
 
 // The router could not learn that the version was withdrawn.
 BOOST_FIXTURE_TEST_CASE(WhoHearsOfNoDeciderSendsNothingThere, Fixture) {
-  context.decides = false;
+  context.is_decider = false;
   it.OnReport(kStart, kPeer, true, PeerReport(RolloutState::kFull), context);
   BOOST_TEST(ShareAt(milliseconds(1500)) == 1);
   BOOST_TEST(ShareAt(milliseconds(1501)) == 0);
-  BOOST_TEST(it.Rule(kStart + seconds(2), context).others);
+  BOOST_TEST(it.Rule(kStart + seconds(2), context).allow_others);
 }
 
 BOOST_FIXTURE_TEST_CASE(ADeciderThatIsCutOffTakesNoStep, Fixture) {
@@ -189,7 +189,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(ReportsOnAnotherOrderChangeNothing, Fixture) {
-  context.decides = false;
+  context.is_decider = false;
   RolloutReport other_version = PeerReport(RolloutState::kCompleted);
   other_version.version = VersionName("v3");
   RolloutReport other_order = PeerReport(RolloutState::kCompleted);
@@ -199,7 +199,7 @@
   // A sum from a router that is no decider is ignored too.
   it.OnReport(kStart, kPeer, false, PeerReport(RolloutState::kCompleted),
               context);
-  BOOST_TEST((it.state() == RolloutState::kUnheard));
+  BOOST_TEST((it.state() == RolloutState::kUnconfirmed));
 }
 
 BOOST_FIXTURE_TEST_CASE(EachRoutersAnswersAreCountedOnce, Fixture) {
@@ -249,7 +249,7 @@
   // Withdrawn here, but completed in the store before this router could write
   // the result.
   Rollout other(Order(), kStart, TheChart(), {0.06});
-  other.OnStored(RolloutEvent::kBegun, kStart);
+  other.OnStored(RolloutEvent::kStarted, kStart);
   other.OnReport(kStart, kPeer, true, PeerReport(RolloutState::kWithdrawn),
                  context);
   other.OnStored(RolloutEvent::kCompleted, kStart);
--- a/rollout/testing/version_judge_test.cc
+++ b/rollout/testing/version_judge_test.cc
@@ -74,11 +74,11 @@
     const std::string route = n < 45 ? "review" : n < 92 ? "summary" : "chat";
     const double fails = is_next ? scenario_.fails(route, given) : 0;
     const double slower = is_next ? scenario_.slower(route, given) : 1;
-    AnswerSeen seen;
+    AttemptOutcome seen;
     seen.failed = Uniform() < scenario_.base_fails + fails;
     if (!seen.failed) {
       const double cold = is_next && Uniform() < 0.5 ? scenario_.cold : 1;
-      seen.first = Spread(route == "review" ? 1.4 : 1.0) * slower * cold;
+      seen.first_event = Spread(route == "review" ? 1.4 : 1.0) * slower * cold;
       if (route != "summary") seen.pause = Spread(40) * slower;
     }
     evidence_.Add(route, is_next, seen);
@@ -93,7 +93,7 @@
   std::mt19937 random_;
   Scenario scenario_;
   VersionEvidence evidence_;
-  VersionJudge evaluator_;
+  VersionEvaluator evaluator_;
 };
 
 struct Results {
@@ -189,7 +189,7 @@
     evidence.Add("review", false, {});
     evidence.Add("chat", false, {});
   }
-  VersionJudge evaluator;
+  VersionEvaluator evaluator;
   evaluator.Observe(evidence);
   BOOST_TEST(!evaluator.IsGood());
   BOOST_TEST(evaluator.IsProbablyGood());
@@ -204,7 +204,7 @@
     many.Add("review", false, {});
   }
   few.Add("review", true, {true, {}, {}});
-  VersionJudge evaluator;
+  VersionEvaluator evaluator;
   evaluator.Observe(many);
   evaluator.Observe(few);
   evaluator.Observe(many);
--- a/rollout/version_judge.cc
+++ b/rollout/version_judge.cc
@@ -46,8 +46,8 @@
 
 }  // namespace
 
-double VersionJudge::Update(const std::string& route, Symptom symptom,
-                            const Count& next, const Count& current) {
+double VersionEvaluator::Update(const std::string& route, Symptom symptom,
+                                const Count& next, const Count& current) {
   const double baseline =
       (static_cast<double>(current.bad) + kPriorBad) /
       (static_cast<double>(current.answers) + kPriorAnswers);
@@ -70,25 +70,26 @@
   return change;
 }
 
-void VersionJudge::ObserveSlower(const std::string& route, Symptom symptom,
-                                 double factor, const TimeHistogram& next,
-                                 const TimeHistogram& current) {
+void VersionEvaluator::ObserveSlower(const std::string& route, Symptom symptom,
+                                     double factor, const TimeHistogram& next,
+                                     const TimeHistogram& current) {
   if (current.total() < kMinTimes) return;
   const double limit = current.Median() * factor;
   Update(route, symptom, {next.total(), next.CountAbove(limit)},
          {current.total(), current.CountAbove(limit)});
 }
 
-void VersionJudge::ObserveRoute(const std::string& route,
-                                const RouteEvidence& next,
-                                const RouteEvidence& current) {
+void VersionEvaluator::ObserveRoute(const std::string& route,
+                                    const RouteEvidence& next,
+                                    const RouteEvidence& current) {
   accepted_ += Update(route, Symptom::kFailed, {next.answers, next.failed},
                       {current.answers, current.failed});
-  ObserveSlower(route, Symptom::kLate, kLateFactor, next.first, current.first);
+  ObserveSlower(route, Symptom::kLate, kLateFactor, next.first_event,
+                current.first_event);
   ObserveSlower(route, Symptom::kSlow, kSlowFactor, next.pause, current.pause);
 }
 
-void VersionJudge::Observe(const VersionEvidence& evidence) {
+void VersionEvaluator::Observe(const VersionEvidence& evidence) {
   static const RouteEvidence kNone;
   worst_ = {};
   for (const auto& [route, it] : evidence.next) {
@@ -107,7 +108,7 @@
   }
 }
 
-bool VersionJudge::IsGood() const {
+bool VersionEvaluator::IsGood() const {
   return !has_too_few_answers_ && accepted_ <= kAccept &&
          worst_.sum < kNearAlarm;
 }
--- a/rollout/version_judge.h
+++ b/rollout/version_judge.h
@@ -48,7 +48,7 @@
                                          {Symptom::kSlow, "slow"}});
 };
 
-class VersionJudge {
+class VersionEvaluator {
  public:
   // A version that is no worse than the current one passes this sum with a
   // probability of about e^-10 each time the sum starts from zero.
@@ -65,7 +65,7 @@
     std::uint64_t answers = 0;
     std::uint64_t bad = 0;
     // The share of bad answers of the current version.
-    double usual = 0;
+    double baseline = 0;
     // The cumulative sum.
     double sum = 0;
   };
