--- a/relay/admission.cc
+++ b/relay/admission.cc
@@ -57,7 +57,7 @@
   if (out.deadline > input.latest_deadline) return RelayCause::kStopped;
   out.placement.service = name;
   if (!out.service->IsEngine()) return std::nullopt;
-  out.worst_case = out.facts.prompt_tokens + out.facts.most_tokens_out;
+  out.worst_case = out.facts.prompt_tokens + out.facts.max_output_tokens;
   out.placement.parts = out.facts.parts;
   out.placement.prompt_tokens = std::max<Tokens>(1, out.facts.prompt_tokens);
   out.placement.pause_limit = out.route->target_gap;
--- a/relay/budget_driver.cc
+++ b/relay/budget_driver.cc
@@ -67,8 +67,8 @@
 
 RemoteHolds::Handlers BudgetDriver::RemoteHandlers() {
   RemoteHolds::Handlers out;
-  out.linked = [this](const VmName& vm) { return on_.linked(vm); };
-  out.tell = [this](const Incarnation& peer, const PeerMessage& it) {
+  out.linked_incarnation = [this](const VmName& vm) { return on_.linked(vm); };
+  out.send = [this](const Incarnation& peer, const PeerMessage& it) {
     SendTo(peer, it);
   };
   return out;
@@ -76,7 +76,7 @@
 
 ServedHolds::Handlers BudgetDriver::ServedHandlers() {
   ServedHolds::Handlers out;
-  out.knows_budget = [this](const CustomerName& customer) {
+  out.has_budget = [this](const CustomerName& customer) {
     return ledger_.IsLimited(customer);
   };
   out.hold = [this](const HoldWaiterPtr& it) {
@@ -88,7 +88,7 @@
   out.settle = [this](const CustomerName& customer, Tokens held, Tokens cost) {
     SettleInGrant(customer, held, cost);
   };
-  out.tell = [this](const Incarnation& peer, const PeerMessage& it) {
+  out.send = [this](const Incarnation& peer, const PeerMessage& it) {
     SendTo(peer, it);
   };
   return out;
@@ -163,7 +163,7 @@
   out.done = [this, waiter](PrepaidVerdict verdict) {
     PostAnswer(waiter, verdict);
   };
-  remote_.AskFor(clock_.Now(), std::move(out));
+  remote_.RequestHold(clock_.Now(), std::move(out));
   StartWaitTimer();
 }
 
@@ -199,18 +199,18 @@
 void BudgetDriver::StartWaitTimer() {
   if (wait_timer_) return;
   wait_timer_ =
-      loop_.Every(HoldPatience().check_every, [this] { CheckWaits(); });
+      loop_.Every(HoldTimeouts().check_every, [this] { CheckWaits(); });
 }
 
 void BudgetDriver::CheckWaits() {
-  remote_.CheckTimes(clock_.Now());
+  remote_.CheckTimeouts(clock_.Now());
   const bool waiting = queue_.Expire(clock_.Now(), store_.reachable());
   RefuseExpiredEarlyHolds();
   if (!waiting && early_holds_.empty() && remote_.Idle()) wait_timer_.reset();
 }
 
 void BudgetDriver::RefuseExpiredEarlyHolds() {
-  const Instant expired = clock_.Now() - HoldPatience().give_up_after;
+  const Instant expired = clock_.Now() - HoldTimeouts().give_up_after;
   std::erase_if(early_holds_, [&](const EarlyHold& it) {
     if (it.arrived_at > expired) return false;
     PostAnswer(it.waiter, PrepaidVerdict::kShort);
--- a/relay/dialect.h
+++ b/relay/dialect.h
@@ -45,7 +45,7 @@
   // Size of the prompt, and the maximum size of its answer; 0 for requests that
   // don't use a model.
   Tokens prompt_tokens = 0;
-  Tokens most_tokens_out = 0;
+  Tokens max_output_tokens = 0;
   // The prompt's parts in order, which select a target with a matching prefix
   // cache; may be empty.
   std::vector<PromptPart> parts;
@@ -115,7 +115,7 @@
 struct RolloutStatus {
   ServiceName service;
   VersionName version;
-  RolloutEvent said = RolloutEvent::kStarted;
+  RolloutEvent event = RolloutEvent::kStarted;
 };
 
 // Reads the items that operators and targets keep in the store.
--- a/relay/hold_patience.h
+++ b/relay/hold_patience.h
@@ -1,4 +1,4 @@
-// HoldPatience defines how long a request waits for tokens of its customer's
+// HoldTimeouts defines how long a request waits for tokens of its customer's
 // budget. No other file defines these times.
 //
 // The wait depends on when the request began to wait, whether this router keeps
@@ -55,7 +55,7 @@
 
 namespace quaytrack {
 
-struct HoldPatience {
+struct HoldTimeouts {
   Duration check_every = std::chrono::milliseconds(10);
   Duration ask_half_after = std::chrono::milliseconds(25);
   Duration ask_all_after = std::chrono::milliseconds(70);
--- a/relay/hold_queue.h
+++ b/relay/hold_queue.h
@@ -93,7 +93,7 @@
   void LogRefused(Instant now, const HoldWaiter& waiter,
                   bool store_reachable) const;
 
-  static constexpr HoldPatience kTimeouts{};
+  static constexpr HoldTimeouts kTimeouts{};
 
   PrepaidLedger& ledger_;
   Handlers on_;
--- a/relay/relay_context.h
+++ b/relay/relay_context.h
@@ -39,7 +39,7 @@
   Loop& loop;
   const Clock& clock;
   const RelayChart& chart;
-  const CallerDialect& callers;
+  const CallerDialect& caller_dialect;
   const TargetDialect& target_dialect;
   // Used by each request, in this order.
   RunningRequests& requests;
@@ -52,9 +52,9 @@
   RolloutDriver& rollouts;
   RelayMetrics& metrics;
   const PlannedStop& stop;
-  std::function<void(const SentPrompt& sent)> tell_peers;
+  std::function<void(const SentPrompt& sent)> announce_prompt;
   // Called when a target's answer states that the target is leaving.
-  std::function<void(const TargetEntry& target)> target_leaves;
+  std::function<void(const TargetEntry& target)> on_target_leaving;
 };
 
 }  // namespace quaytrack
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -83,7 +83,7 @@
           .loop = loop,
           .clock = clock,
           .chart = charts.request,
-          .callers = interface.callers,
+          .caller_dialect = interface.callers,
           .target_dialect = interface.targets,
           .requests = requests_,
           .random = random_,
@@ -95,8 +95,9 @@
           .rollouts = rollouts_,
           .metrics = metrics_,
           .stop = stop_,
-          .tell_peers = [this](const SentPrompt& it) { BroadcastPrompt(it); },
-          .target_leaves =
+          .announce_prompt =
+              [this](const SentPrompt& it) { BroadcastPrompt(it); },
+          .on_target_leaving =
               [this](const TargetEntry& it) { OnTargetLeaving(it); },
       },
       caller_server_(loop, clock),
@@ -339,7 +340,7 @@
   };
   out.grants_returned = [this] { return budgets_.HasLeft(); };
   out.requests_before = [this](Instant time) {
-    return context_.requests.CountBegunBefore(time) +
+    return context_.requests.CountStartedBefore(time) +
            caller_server_.Unfinished();
   };
   out.end_unfinished = [this](Duration left) {
--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -41,8 +41,8 @@
   caller_->OnGone([self] { self->OnCallerGone(); });
   std::uniform_real_distribution<double> draw(0, 1);
   const auto refused =
-      Admit({map_.get(), context_.callers, request_, draw(context_.random),
-             context_.stop.LatestDeadline()},
+      Admit({map_.get(), context_.caller_dialect, request_,
+             draw(context_.random), context_.stop.LatestDeadline()},
             admission_);
   if (refused) return GiveUp(Ran::kNo, *refused);
   deadline_timer_ = context_.loop.After(std::max(Left(), Duration::zero()),
@@ -99,7 +99,7 @@
   }
 }
 
-std::size_t RunningRequests::CountBegunBefore(Instant time) const {
+std::size_t RunningRequests::CountStartedBefore(Instant time) const {
   return static_cast<std::size_t>(std::count_if(
       all_.begin(), all_.end(),
       [time](const auto& it) { return it->started_at() < time; }));
@@ -196,7 +196,7 @@
 void RelayedRequest::AnnouncePrompt() const {
   if (!context_.placement.IsWorthReporting(admission_.placement, prefill_))
     return;
-  context_.tell_peers({progress_.choice.target.name, prefill_});
+  context_.announce_prompt({progress_.choice.target.name, prefill_});
 }
 
 TargetCall RelayedRequest::MakeCall() const {
@@ -268,7 +268,7 @@
   const TargetEntry& target = progress_.choice.target;
   if (answer_facts_.leaving) {
     LogSaysLeaving(id(), target);
-    context_.target_leaves(target);
+    context_.on_target_leaving(target);
   }
   if (answer_facts_.back_off > milliseconds(0)) {
     LogBacksOff(id(), target, answer_facts_.back_off);
--- a/relay/remote_holds.cc
+++ b/relay/remote_holds.cc
@@ -22,7 +22,7 @@
 
 // --- Requesting holds --------------------------------------------------------
 
-void RemoteHolds::AskFor(Instant now, Request request) {
+void RemoteHolds::RequestHold(Instant now, Request request) {
   const RequestId id = request.id;
   PendingHold& hold = pending_[id];
   hold.request = std::move(request);
@@ -30,14 +30,14 @@
   AskNextHolder(now, hold);
 }
 
-// Without a further holder, the request is refused at the next `CheckTimes`.
+// Without a further holder, the request is refused at the next `CheckTimeouts`.
 void RemoteHolds::AskNextHolder(Instant now, PendingHold& hold) {
   hold.holder = {};
   hold.asked_at = now;
   const bool past_deadline =
       now - hold.started_at >= options_.timeouts.ask_holders_until;
   while (!past_deadline && hold.next < hold.request.holders.size()) {
-    hold.holder = on_.linked(hold.request.holders[hold.next++]);
+    hold.holder = on_.linked_incarnation(hold.request.holders[hold.next++]);
     if (!hold.holder.empty()) break;
   }
   if (hold.holder.empty()) return;
@@ -46,7 +46,7 @@
   out.request = hold.request.id;
   out.customer = hold.request.customer;
   out.amount = hold.request.amount;
-  on_.tell(hold.holder, out);
+  on_.send(hold.holder, out);
 }
 
 // The holder may have granted the hold, or may still do so.
@@ -90,8 +90,8 @@
   }
 }
 
-void RemoteHolds::CheckTimes(Instant now) {
-  const HoldPatience& timeouts = options_.timeouts;
+void RemoteHolds::CheckTimeouts(Instant now) {
+  const HoldTimeouts& timeouts = options_.timeouts;
   for (auto it = pending_.begin(); it != pending_.end();) {
     PendingHold& hold = it->second;
     const auto at = it++;
@@ -131,7 +131,7 @@
   out.kind = PeerMessageKind::kSettle;
   out.request = key.request;
   out.amount = it.cost;
-  on_.tell(key.holder, out);
+  on_.send(key.holder, out);
 }
 
 void RemoteHolds::OnAcknowledged(const PeerMessage& message) {
@@ -152,7 +152,7 @@
 // A later incarnation proves that the holder has died.
 bool RemoteHolds::IsObsolete(Instant now, const HoldKey& key,
                              const UnacknowledgedCost& it) const {
-  const Incarnation linked = on_.linked(VmOf(key.holder));
+  const Incarnation linked = on_.linked_incarnation(VmOf(key.holder));
   const bool dead = !linked.empty() && linked != key.holder;
   return dead || now - it.started_at >= options_.give_up_after;
 }
--- a/relay/remote_holds.h
+++ b/relay/remote_holds.h
@@ -1,10 +1,10 @@
 // RemoteHolds manages this router's holds on budgets whose grants are kept by
 // other routers, the holders (fleet/fleet.h).
 //
-//   holds.AskFor(now, {id, customer, amount, holders, done});
+//   holds.RequestHold(now, {id, customer, amount, holders, done});
 //   ...                            // done(verdict), when a holder has answered
 //   holds.Settle(now, id, cost);   // the tokens to charge, 0 if nothing ran
-//   holds.CheckTimes(now);         // every few milliseconds until `Idle`
+//   holds.CheckTimeouts(now);         // every few milliseconds until `Idle`
 //
 // The holder counts an amount as held until it receives the cost, so no more
 // than its grant is spent, whichever messages are lost:
@@ -41,7 +41,7 @@
 class RemoteHolds {
  public:
   struct Options {
-    HoldPatience timeouts;
+    HoldTimeouts timeouts;
     // Interval at which an unacknowledged cost is sent again.
     Duration resend_every = std::chrono::milliseconds(1000);
     // After this the cost is no longer sent; its hold stays charged at the
@@ -50,8 +50,8 @@
   };
   struct Handlers {
     // The linked incarnation on a VM; empty if none is linked.
-    std::function<Incarnation(const VmName&)> linked;
-    std::function<void(const Incarnation&, const PeerMessage&)> tell;
+    std::function<Incarnation(const VmName&)> linked_incarnation;
+    std::function<void(const Incarnation&, const PeerMessage&)> send;
   };
   struct Request {
     RequestId id;
@@ -59,14 +59,14 @@
     Tokens amount = 0;
     // Asked in this order.
     std::vector<VmName> holders;
-    // Never called from within `AskFor`.
+    // Never called from within `RequestHold`.
     std::function<void(PrepaidVerdict)> done;
   };
 
   RemoteHolds(Options options, Handlers handlers)
       : options_(options), on_(std::move(handlers)) {}
 
-  void AskFor(Instant now, Request request);
+  void RequestHold(Instant now, Request request);
   // Abandons the pending hold without calling `done`.
   void Forget(Instant now, const RequestId& id);
   // Whether a holder has granted a hold for the request.
@@ -78,8 +78,8 @@
   void OnPeerLost(Instant now, const Incarnation& holder);
   // Skips holders that don't answer, ends pending holds without a further
   // holder, and sends unacknowledged costs again.
-  void CheckTimes(Instant now);
-  // Returns true if `CheckTimes` has nothing to do.
+  void CheckTimeouts(Instant now);
+  // Returns true if `CheckTimeouts` has nothing to do.
   bool Idle() const { return pending_.empty() && unacknowledged_.empty(); }
 
  private:
--- a/relay/rollout_driver.cc
+++ b/relay/rollout_driver.cc
@@ -275,7 +275,7 @@
     const bool is_of_order = status && status->version == order.version &&
                              it.revision > order.revision;
     if (!is_of_order) continue;
-    const RolloutEvent event = status->said;
+    const RolloutEvent event = status->event;
     entry.rollout->OnStored(event, context_.clock.Now());
     const bool is_there = event != RolloutEvent::kStarted ||
                           entry.pending == RolloutEvent::kStarted;
--- a/relay/running_requests.h
+++ b/relay/running_requests.h
@@ -30,7 +30,7 @@
     for (const auto& it : all_) action(*it);
   }
   // Counts the requests whose first byte arrived before `time`.
-  std::size_t CountBegunBefore(Instant time) const;
+  std::size_t CountStartedBefore(Instant time) const;
   bool empty() const { return all_.empty(); }
   std::size_t size() const { return all_.size(); }
 
--- a/relay/served_holds.cc
+++ b/relay/served_holds.cc
@@ -30,7 +30,7 @@
   out.kind = PeerMessageKind::kHoldAnswer;
   out.request = key.request;
   out.answer = answer;
-  on_.tell(key.asker, out);
+  on_.send(key.asker, out);
 }
 
 void ServedHolds::OnHoldWanted(const PeerMessage& message) {
@@ -40,7 +40,7 @@
   // A customer without a budget here would be served without being counted. The
   // asker's configuration is older or newer than this router's, and another
   // holder may have the same one.
-  if (!on_.knows_budget(message.customer)) {
+  if (!on_.has_budget(message.customer)) {
     return Answer(key, HoldAnswer::kElsewhere);
   }
   const auto hold =
@@ -55,7 +55,7 @@
   PeerMessage out;
   out.kind = PeerMessageKind::kSettled;
   out.request = message.request;
-  on_.tell(message.from, out);
+  on_.send(message.from, out);
   const auto it = holds_.find(key);
   if (it == holds_.end()) return;
   const PeerHoldPtr hold = it->second;
--- a/relay/served_holds.h
+++ b/relay/served_holds.h
@@ -38,13 +38,13 @@
  public:
   struct Handlers {
     // Whether this router's configuration has a budget for the customer.
-    std::function<bool(const CustomerName&)> knows_budget;
+    std::function<bool(const CustomerName&)> has_budget;
     // These act on this router's grants. `hold` is answered through the
     // waiter's callbacks.
     std::function<void(const HoldWaiterPtr&)> hold;
     std::function<void(const HoldWaiterPtr&)> forget;
     std::function<void(const CustomerName&, Tokens held, Tokens cost)> settle;
-    std::function<void(const Incarnation&, const PeerMessage&)> tell;
+    std::function<void(const Incarnation&, const PeerMessage&)> send;
   };
 
   explicit ServedHolds(Handlers handlers) : on_(std::move(handlers)) {}
--- a/relay/testing/admission_test.cc
+++ b/relay/testing/admission_test.cc
@@ -65,7 +65,7 @@
     dialect.facts.id = RequestId("r-1");
     dialect.facts.key = "key-a";
     dialect.facts.prompt_tokens = 100;
-    dialect.facts.most_tokens_out = 30;
+    dialect.facts.max_output_tokens = 30;
     dialect.facts.parts = {{1, 60}, {2, 40}};
   }
 
@@ -107,7 +107,7 @@
 // engine.
 BOOST_FIXTURE_TEST_CASE(AnEngineRequestIsPlacedAsSuchWithoutTokens, Fixture) {
   dialect.facts.prompt_tokens = 0;
-  dialect.facts.most_tokens_out = 0;
+  dialect.facts.max_output_tokens = 0;
   BOOST_TEST(!AdmitTo("/stream/x"));
   BOOST_TEST(admission.worst_case == 0);
   BOOST_TEST(admission.placement.ForEngine());
--- a/relay/testing/holds_test.cc
+++ b/relay/testing/holds_test.cc
@@ -24,7 +24,7 @@
 struct Holder {
   explicit Holder(Incarnation name) : self(std::move(name)) {
     ServedHolds::Handlers on;
-    on.knows_budget = [](const CustomerName&) { return true; };
+    on.has_budget = [](const CustomerName&) { return true; };
     on.hold = [this](const HoldWaiterPtr& it) {
       waiting.push_back(it);
       if (!silent) HoldWaiting();
@@ -34,7 +34,7 @@
       held -= amount;
       spent += cost;
     };
-    on.tell = [this](const Incarnation&, PeerMessage it) {
+    on.send = [this](const Incarnation&, PeerMessage it) {
       it.from = self;
       sent.push_back(it);
     };
@@ -61,13 +61,13 @@
 struct Fixture {
   Fixture() {
     RemoteHolds::Handlers on;
-    on.linked = [this](const VmName& vm) {
+    on.linked_incarnation = [this](const VmName& vm) {
       for (const Holder& it : holders) {
         if (linked && VmOf(it.self) == vm) return it.self;
       }
       return Incarnation();
     };
-    on.tell = [this](const Incarnation& to, PeerMessage it) {
+    on.send = [this](const Incarnation& to, PeerMessage it) {
       it.from = kAsker;
       if (lose_next > 0) {
         --lose_next;
@@ -93,7 +93,7 @@
     out.amount = amount;
     out.holders = {kHolders[0], kHolders[1]};
     out.done = [this](PrepaidVerdict it) { verdicts.push_back(it); };
-    remote->AskFor(now, out);
+    remote->RequestHold(now, out);
   }
 
   // Delivers the holders' answers to the asker.
@@ -110,7 +110,7 @@
 
   void Advance(Duration time) {
     now += time;
-    remote->CheckTimes(now);
+    remote->CheckTimeouts(now);
     DeliverAnswers();
   }
 
@@ -167,7 +167,7 @@
   Ask("r", 100);
   Advance(milliseconds(200));
   BOOST_REQUIRE(holders[1].waiting.size() == 1U);
-  Advance(HoldPatience().give_up_after);
+  Advance(HoldTimeouts().give_up_after);
   BOOST_TEST(verdicts.empty());
   holders[1].HoldWaiting();
   DeliverAnswers();
--- a/relay/testing/plain_state_reader.h
+++ b/relay/testing/plain_state_reader.h
@@ -81,7 +81,7 @@
     return "s/rollout/" + service.value;
   }
   std::string EncodeRolloutStatus(const RolloutStatus& status) const override {
-    return status.version.value + " " + std::string(NameOf(status.said));
+    return status.version.value + " " + std::string(NameOf(status.event));
   }
   boost::leaf::result<RolloutStatus> ReadRolloutStatus(
       const StoreItem& item) const override {
