--- a/relay/budget_driver.cc
+++ b/relay/budget_driver.cc
@@ -235,7 +235,7 @@
       return queue_.Serve(clock_.Now());
     case PeerMessageKind::kTransferRequest:
       return transfers_.OnTransferRequest(clock_.Now(), message);
-    case PeerMessageKind::kHoldWanted:
+    case PeerMessageKind::kHoldRequest:
       return served_.OnHoldWanted(message);
     case PeerMessageKind::kSettle:
       return served_.OnSettle(message);
--- a/relay/peer_messages.cc
+++ b/relay/peer_messages.cc
@@ -298,7 +298,7 @@
   out.all = json.value("all", false);
   out.request = RequestId(json.value("request", ""));
   const auto answer = FromName<HoldAnswer>(json.value("answer", ""));
-  out.answer = answer.value_or(HoldAnswer::kElsewhere);
+  out.answer = answer.value_or(HoldAnswer::kNotHolder);
   out.hall = HallName(json.value("hall", ""));
   out.address = json.value("address", "");
   out.config_version = json.value("config", std::uint64_t{0});
--- a/relay/peer_messages.h
+++ b/relay/peer_messages.h
@@ -1,7 +1,7 @@
 // The messages between routers, as CBOR in websocket messages.
 //
 //   PeerMessage out;
-//   out.kind = PeerMessageKind::kHoldWanted;
+//   out.kind = PeerMessageKind::kHoldRequest;
 //   send(EncodePeerMessage(out));
 //   if (auto in = DecodePeerMessage(bytes)) switch (in->kind) {...}
 //
@@ -39,7 +39,7 @@
   kTransferRequest,  // requests a transfer of unused grant of a customer's
                      // budget
   kTransfer,         // running total of what the sender has transferred
-  kHoldWanted,       // requests a hold on a customer's budget for a request
+  kHoldRequest,      // requests a hold on a customer's budget for a request
   kHoldAnswer,       // the answer to a hold request
   kSettle,           // the cost of a request that was held
   kSettled,          // acknowledges a kSettle
@@ -60,7 +60,7 @@
        {PeerMessageKind::kPing, "ping"},
        {PeerMessageKind::kTransferRequest, "ask"},
        {PeerMessageKind::kTransfer, "move"},
-       {PeerMessageKind::kHoldWanted, "hold"},
+       {PeerMessageKind::kHoldRequest, "hold"},
        {PeerMessageKind::kHoldAnswer, "hold_answer"},
        {PeerMessageKind::kSettle, "settle"},
        {PeerMessageKind::kSettled, "settled"},
@@ -74,12 +74,12 @@
        {PeerMessageKind::kRateLimits, "rate_limits"}});
 };
 
-// A holder's answer to kHoldWanted.
+// A holder's answer to kHoldRequest.
 enum class HoldAnswer {
   kHeld,
   kShort,      // the grants within this holder's reach are too small
   kExhausted,  // the budget is too small
-  kElsewhere,  // this router keeps no grants, or no longer: try another
+  kNotHolder,  // this router keeps no grants, or no longer: try another
 };
 
 template <>
@@ -88,13 +88,13 @@
       {{HoldAnswer::kHeld, "held"},
        {HoldAnswer::kShort, "short"},
        {HoldAnswer::kExhausted, "exhausted"},
-       {HoldAnswer::kElsewhere, "elsewhere"}});
+       {HoldAnswer::kNotHolder, "elsewhere"}});
 };
 
 struct PeerMessage {
   PeerMessageKind kind = PeerMessageKind::kPing;
   Incarnation from;
-  // kTransferRequest, kTransfer, kHoldWanted.
+  // kTransferRequest, kTransfer, kHoldRequest.
   CustomerName customer;
   // The same kinds: the amount requested, the running total, the worst case.
   // kSettle: the cost. kPromptSent: the tokens to be prefilled.
@@ -102,9 +102,9 @@
   // kTransferRequest: the peer may transfer all its unused grant; otherwise it
   // keeps half.
   bool all = false;
-  // kHoldWanted, kHoldAnswer, kSettle, kSettled.
+  // kHoldRequest, kHoldAnswer, kSettle, kSettled.
   RequestId request;
-  HoldAnswer answer = HoldAnswer::kElsewhere;
+  HoldAnswer answer = HoldAnswer::kNotHolder;
   // kHello: the sender's hall and the address that it listens on.
   HallName hall;
   std::string address;
--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -452,7 +452,7 @@
 // nothing about the version.
 void RelayedRequest::ReportAnswer(PlacementOutcome outcome) const {
   const TargetEntry& target = progress_.choice.target;
-  if (!context_.rollouts.IsJudging(target.service)) return;
+  if (!context_.rollouts.IsEvaluating(target.service)) return;
   const bool has_head = progress_.head_at.has_value();
   const bool error =
       has_head && !answer_facts_.not_run && IsServerError(answer_.status);
--- a/relay/remote_holds.cc
+++ b/relay/remote_holds.cc
@@ -12,7 +12,7 @@
     case HoldAnswer::kExhausted:
       return PrepaidVerdict::kExhausted;
     case HoldAnswer::kShort:
-    case HoldAnswer::kElsewhere:
+    case HoldAnswer::kNotHolder:
       return PrepaidVerdict::kShort;
   }
   return PrepaidVerdict::kShort;
@@ -42,7 +42,7 @@
   }
   if (hold.holder.empty()) return;
   PeerMessage out;
-  out.kind = PeerMessageKind::kHoldWanted;
+  out.kind = PeerMessageKind::kHoldRequest;
   out.request = hold.request.id;
   out.customer = hold.request.customer;
   out.amount = hold.request.amount;
@@ -73,7 +73,7 @@
   // Ignores the answer of a previous holder, which was already sent a cost of
   // zero.
   if (it == pending_.end() || it->second.holder != message.from) return;
-  if (message.answer == HoldAnswer::kElsewhere) {
+  if (message.answer == HoldAnswer::kNotHolder) {
     return AskNextHolder(now, it->second);
   }
   if (message.answer == HoldAnswer::kHeld) {
--- a/relay/rollout_driver.cc
+++ b/relay/rollout_driver.cc
@@ -86,7 +86,7 @@
 
 // --- Answers and reports -----------------------------------------------------
 
-bool RolloutDriver::IsJudging(const ServiceName& service) const {
+bool RolloutDriver::IsEvaluating(const ServiceName& service) const {
   const Rollout* it = Find(service);
   return it != nullptr && it->IsEvaluated();
 }
--- a/relay/rollout_driver.h
+++ b/relay/rollout_driver.h
@@ -79,7 +79,7 @@
   // `order` is null if the order was withdrawn.
   void OnOrder(const ServiceName& service, const RolloutOrder* order);
   // Whether answers of the service are to be passed to `OnAnswer`.
-  bool IsJudging(const ServiceName& service) const;
+  bool IsEvaluating(const ServiceName& service) const;
   void OnAnswer(const ServiceName& service, const VersionName& version,
                 const std::string& route, const AttemptOutcome& seen);
   void OnPeer(const PeerMessage& message);
--- a/relay/served_holds.cc
+++ b/relay/served_holds.cc
@@ -35,13 +35,13 @@
 
 void ServedHolds::OnHoldWanted(const PeerMessage& message) {
   const Key key{message.from, message.request};
-  if (stopped_) return Answer(key, HoldAnswer::kElsewhere);
+  if (stopped_) return Answer(key, HoldAnswer::kNotHolder);
   if (settled_.contains(key) || holds_.contains(key)) return;
   // A customer without a budget here would be served without being counted. The
   // asker's configuration is older or newer than this router's, and another
   // holder may have the same one.
   if (!on_.has_budget(message.customer)) {
-    return Answer(key, HoldAnswer::kElsewhere);
+    return Answer(key, HoldAnswer::kNotHolder);
   }
   const auto hold =
       std::make_shared<PeerHold>(*this, key, message.customer, message.amount);
@@ -90,7 +90,7 @@
   for (const PeerHoldPtr& it : waiting) {
     holds_.erase(it->key_);
     Finish(it, 0);
-    Answer(it->key_, HoldAnswer::kElsewhere);
+    Answer(it->key_, HoldAnswer::kNotHolder);
   }
 }
 
--- a/relay/testing/budgets_test.cc
+++ b/relay/testing/budgets_test.cc
@@ -649,8 +649,8 @@
 BOOST_FIXTURE_TEST_CASE(APeersHoldIsKeptUntilItsCostIsTold, Fixture) {
   JoinAndStopClock();
   const Tokens before = Allowance();
-  budgets.OnPeer(Message(PeerMessageKind::kHoldWanted, 1000, "r"));
-  budgets.OnPeer(Message(PeerMessageKind::kHoldWanted, 1000, "r"));
+  budgets.OnPeer(Message(PeerMessageKind::kHoldRequest, 1000, "r"));
+  budgets.OnPeer(Message(PeerMessageKind::kHoldRequest, 1000, "r"));
   const auto answers = UnicastsOf(PeerMessageKind::kHoldAnswer);
   BOOST_REQUIRE(answers.size() == 1U);
   BOOST_TEST((answers[0].message.answer == HoldAnswer::kHeld));
@@ -664,7 +664,7 @@
 
 BOOST_FIXTURE_TEST_CASE(APeersHoldWaitsLikeAnyOther, Fixture) {
   JoinAndStopClock();
-  budgets.OnPeer(Message(PeerMessageKind::kHoldWanted, 40000, "r"));
+  budgets.OnPeer(Message(PeerMessageKind::kHoldRequest, 40000, "r"));
   BOOST_TEST(UnicastsOf(PeerMessageKind::kHoldAnswer).empty());
   clock.Advance(milliseconds(160));
   const auto answered = [&] {
@@ -679,21 +679,21 @@
 // wouldn't count what it held for the requester.
 BOOST_FIXTURE_TEST_CASE(AHolderThatDoesntKnowTheBudgetHoldsNothing, Fixture) {
   JoinAndStopClock();
-  PeerMessage from_peer = Message(PeerMessageKind::kHoldWanted, 1000, "r");
+  PeerMessage from_peer = Message(PeerMessageKind::kHoldRequest, 1000, "r");
   from_peer.customer = CustomerName("newcomer");
   budgets.OnPeer(from_peer);
   const auto answers = UnicastsOf(PeerMessageKind::kHoldAnswer);
   BOOST_REQUIRE(answers.size() == 1U);
-  BOOST_TEST((answers[0].message.answer == HoldAnswer::kElsewhere));
+  BOOST_TEST((answers[0].message.answer == HoldAnswer::kNotHolder));
 }
 
 BOOST_FIXTURE_TEST_CASE(AStoppingRouterSendsAskersToOtherHolders, Fixture) {
   Join();
   budgets.StopServing();
-  budgets.OnPeer(Message(PeerMessageKind::kHoldWanted, 1000, "r"));
+  budgets.OnPeer(Message(PeerMessageKind::kHoldRequest, 1000, "r"));
   const auto answers = UnicastsOf(PeerMessageKind::kHoldAnswer);
   BOOST_REQUIRE(answers.size() == 1U);
-  BOOST_TEST((answers[0].message.answer == HoldAnswer::kElsewhere));
+  BOOST_TEST((answers[0].message.answer == HoldAnswer::kNotHolder));
 }
 
 // A router that keeps no grants; `holder` keeps some.
@@ -728,7 +728,7 @@
 BOOST_FIXTURE_TEST_CASE(WithoutAGrantAHolderIsAskedAndTold, RequesterFixture) {
   const WaiterPtr it = Make("r", 1000);
   BOOST_TEST((budgets.Hold(it) == PrepaidVerdict::kShort));
-  const auto requests = UnicastsOf(PeerMessageKind::kHoldWanted);
+  const auto requests = UnicastsOf(PeerMessageKind::kHoldRequest);
   BOOST_REQUIRE(requests.size() == 1U);
   BOOST_TEST(requests[0].to.value == holder.value);
   BOOST_TEST(requests[0].message.amount == 1000);
@@ -774,7 +774,7 @@
   BOOST_TEST(it->answers() == 0);
   ReadFleet();
   BOOST_REQUIRE(!fleet.IsHolder(VmName("vm1")));
-  BOOST_TEST(UnicastsOf(PeerMessageKind::kHoldWanted).size() == 1U);
+  BOOST_TEST(UnicastsOf(PeerMessageKind::kHoldRequest).size() == 1U);
   BOOST_TEST(!budgets.ledger().ActsAsHolder());
 }
 
@@ -795,7 +795,7 @@
   ReadFleet();
   RunSome();
   BOOST_TEST(it->answers() == 0);
-  BOOST_TEST(UnicastsOf(PeerMessageKind::kHoldWanted).empty());
+  BOOST_TEST(UnicastsOf(PeerMessageKind::kHoldRequest).empty());
 }
 
 BOOST_FIXTURE_TEST_CASE(AHoldersNoIsPassedOn, RequesterFixture) {
--- a/relay/testing/holds_test.cc
+++ b/relay/testing/holds_test.cc
@@ -81,7 +81,7 @@
   }
 
   static void Deliver(Holder& holder, const PeerMessage& it) {
-    if (it.kind == PeerMessageKind::kHoldWanted)
+    if (it.kind == PeerMessageKind::kHoldRequest)
       holder.served->OnHoldWanted(it);
     if (it.kind == PeerMessageKind::kSettle) holder.served->OnSettle(it);
   }
@@ -240,7 +240,7 @@
 
 BOOST_FIXTURE_TEST_CASE(AnAskThatArrivesAfterItsEndHoldsNothing, Fixture) {
   PeerMessage hold_request;
-  hold_request.kind = PeerMessageKind::kHoldWanted;
+  hold_request.kind = PeerMessageKind::kHoldRequest;
   hold_request.from = kAsker;
   hold_request.request = RequestId("r");
   hold_request.customer = kCustomer;
--- a/relay/testing/peer_messages_test.cc
+++ b/relay/testing/peer_messages_test.cc
@@ -152,7 +152,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(MessagesAboutHoldsKeepTheirForm) {
-  PeerMessage it = Message(PeerMessageKind::kHoldWanted);
+  PeerMessage it = Message(PeerMessageKind::kHoldRequest);
   it.request = RequestId("r");
   it.customer = CustomerName("clinic");
   it.amount = 130;
@@ -175,7 +175,7 @@
       {HoldAnswer::kHeld, "held"},
       {HoldAnswer::kShort, "short"},
       {HoldAnswer::kExhausted, "exhausted"},
-      {HoldAnswer::kElsewhere, "elsewhere"}};
+      {HoldAnswer::kNotHolder, "elsewhere"}};
   for (const auto& [answer, word] : answers) {
     it.answer = answer;
     const std::string text =
--- a/relay/testing/rollout_fleet_test.cc
+++ b/relay/testing/rollout_fleet_test.cc
@@ -383,7 +383,7 @@
       AttemptOutcome seen;
       seen.failed = it.fails;
       seen.first_event = 1.0;
-      if (router.driver->IsJudging(kService)) {
+      if (router.driver->IsEvaluating(kService)) {
         router.driver->OnAnswer(
             kService, it.is_next ? kNext : VersionName("v1"), "review", seen);
       }
