--- a/bundle/keeper.cc
+++ b/bundle/keeper.cc
@@ -65,7 +65,7 @@
           return BundleVerdict::kVersionMismatch;
         }
         bundle_ = std::make_shared<const Bundle>(std::move(bundle));
-        return BundleVerdict::kTaken;
+        return BundleVerdict::kAccepted;
       },
       [] { return BundleVerdict::kUnreadable; });
 }
--- a/bundle/keeper.h
+++ b/bundle/keeper.h
@@ -47,7 +47,7 @@
 std::vector<std::string> CutIntoChunks(std::string_view text);
 
 enum class BundleVerdict {
-  kTaken,
+  kAccepted,
   kNotNewer,
   kWrongDigest,
   kTooFewSignatures,
@@ -58,7 +58,7 @@
 template <>
 struct EnumTable<BundleVerdict> {
   static constexpr auto kEntries = std::to_array<EnumEntry<BundleVerdict>>(
-      {{BundleVerdict::kTaken, "taken"},
+      {{BundleVerdict::kAccepted, "taken"},
        {BundleVerdict::kNotNewer, "not_newer"},
        {BundleVerdict::kWrongDigest, "wrong_digest"},
        {BundleVerdict::kTooFewSignatures, "too_few_signatures"},
--- a/claim/claim.cc
+++ b/claim/claim.cc
@@ -48,12 +48,12 @@
   }
 }
 
-ClaimBook::ClaimBook(Incarnation self, ClaimOptions options,
-                     const ClaimChart& chart)
+ClaimTracker::ClaimTracker(Incarnation self, ClaimOptions options,
+                           const ClaimChart& chart)
     : self_(std::move(self)), options_(options), chart_(chart) {}
 
-ClaimAnswer ClaimBook::AnswerFrom(const ClaimEntry& entry,
-                                  const std::string& digest) const {
+ClaimAnswer ClaimTracker::AnswerFrom(const ClaimEntry& entry,
+                                     const std::string& digest) const {
   if (entry.digest != digest) return {ClaimAnswerKind::kMismatch, entry};
   switch (entry.state) {
     case ClaimState::kDone:
@@ -61,14 +61,15 @@
     case ClaimState::kUnknown:
       return {ClaimAnswerKind::kUnknown, entry};
     case ClaimState::kClaimed:
-      return {ClaimAnswerKind::kElsewhere, entry};
+      return {ClaimAnswerKind::kOtherRouter, entry};
   }
   return {ClaimAnswerKind::kUnknown, entry};
 }
 
-ClaimAnswer ClaimBook::Begin(Instant now, const ClaimKey& key,
-                             const std::string& digest,
-                             const RequestId& request, std::int64_t wall_ms) {
+ClaimAnswer ClaimTracker::Begin(Instant now, const ClaimKey& key,
+                                const std::string& digest,
+                                const RequestId& request,
+                                std::int64_t wall_ms) {
   auto resolved = resolved_.find(key);
   if (resolved != resolved_.end()) return AnswerFrom(resolved->second, digest);
   auto it = local_claims_.find(key);
@@ -94,8 +95,8 @@
   return {ClaimAnswerKind::kWait, {}};
 }
 
-void ClaimBook::Abandon(Instant now, const ClaimKey& key,
-                        const RequestId& request) {
+void ClaimTracker::Abandon(Instant now, const ClaimKey& key,
+                           const RequestId& request) {
   auto it = local_claims_.find(key);
   if (it == local_claims_.end()) return;
   if (it->second.entry.request == request) {
@@ -105,7 +106,8 @@
   }
 }
 
-void ClaimBook::Done(Instant now, const ClaimKey& key, KeptAnswer answer) {
+void ClaimTracker::MarkDone(Instant now, const ClaimKey& key,
+                            StoredAnswer answer) {
   auto it = local_claims_.find(key);
   if (it == local_claims_.end()) return;
   it->second.entry.state = ClaimState::kDone;
@@ -113,21 +115,21 @@
   Apply(now, key, ClaimStep::kRan);
 }
 
-void ClaimBook::Lost(Instant now, const ClaimKey& key) {
+void ClaimTracker::MarkUnknown(Instant now, const ClaimKey& key) {
   auto it = local_claims_.find(key);
   if (it == local_claims_.end()) return;
   it->second.entry.state = ClaimState::kUnknown;
   Apply(now, key, ClaimStep::kLost);
 }
 
-void ClaimBook::Apply(Instant now, const ClaimKey& key, ClaimStep step) {
+void ClaimTracker::Apply(Instant now, const ClaimKey& key, ClaimStep step) {
   auto it = local_claims_.find(key);
   if (it == local_claims_.end()) return;
   PerformAction(now, key, it->second, it->second.machine.Apply(step));
 }
 
-void ClaimBook::PerformAction(Instant now, const ClaimKey& key,
-                              LocalClaim& local, ClaimAction action) {
+void ClaimTracker::PerformAction(Instant now, const ClaimKey& key,
+                                 LocalClaim& local, ClaimAction action) {
   switch (action) {
     case ClaimAction::kNone:
       return;
@@ -149,7 +151,7 @@
   }
 }
 
-void ClaimBook::NotifyJoined(LocalClaim& local) {
+void ClaimTracker::NotifyJoined(LocalClaim& local) {
   const ClaimAnswer answer = AnswerFrom(local.entry, local.entry.digest);
   for (const RequestId& it : local.joined) {
     events_.push_back({ClaimEventKind::kResolved, it, answer});
@@ -157,12 +159,12 @@
   local.joined.clear();
 }
 
-void ClaimBook::Enqueue(Instant now, ClaimWrite write) {
+void ClaimTracker::Enqueue(Instant now, ClaimWrite write) {
   if (queue_.empty() && in_flight_.empty()) due_ = now + options_.group_delay;
   queue_.push_back(std::move(write));
 }
 
-std::optional<ClaimCommit> ClaimBook::Next(Instant now) {
+std::optional<ClaimCommit> ClaimTracker::Next(Instant now) {
   if (!in_flight_.empty() || queue_.empty() || now < due_) {
     return std::nullopt;
   }
@@ -184,9 +186,9 @@
   return out;
 }
 
-void ClaimBook::OnCommit(Instant now, ClaimOutcome outcome,
-                         std::int64_t revision,
-                         const std::vector<FoundClaim>& found) {
+void ClaimTracker::OnCommit(Instant now, ClaimOutcome outcome,
+                            std::int64_t revision,
+                            const std::vector<FoundClaim>& found) {
   std::vector<ClaimWrite> writes = std::exchange(in_flight_, {});
   due_ = now;
   if (outcome == ClaimOutcome::kUnknown) {
@@ -206,8 +208,8 @@
 // Resolves one write of a rejected group from the present value of its key.
 // Another write may have caused the rejection, or an earlier attempt of this
 // write may have been applied.
-void ClaimBook::ResolveRejected(Instant now, const ClaimWrite& write,
-                                const FoundClaim& found) {
+void ClaimTracker::ResolveRejected(Instant now, const ClaimWrite& write,
+                                   const FoundClaim& found) {
   if (write.kind != ClaimWriteKind::kCreate) {
     const bool untouched = found.exists && found.revision == write.revision;
     if (!untouched) return OnWritten(now, write, found.revision);
@@ -235,8 +237,8 @@
   }
 }
 
-void ClaimBook::OnWritten(Instant now, const ClaimWrite& write,
-                          std::int64_t revision) {
+void ClaimTracker::OnWritten(Instant now, const ClaimWrite& write,
+                             std::int64_t revision) {
   auto it = local_claims_.find(write.key);
   if (it == local_claims_.end()) return;
   LocalClaim& local = it->second;
@@ -252,7 +254,7 @@
   local_claims_.erase(it);
 }
 
-void ClaimBook::Remember(const ClaimKey& key, const ClaimEntry& entry) {
+void ClaimTracker::Remember(const ClaimKey& key, const ClaimEntry& entry) {
   resolved_[key] = entry;
   resolved_order_.push_back(key);
   if (resolved_order_.size() <= options_.max_resolved) return;
@@ -260,7 +262,7 @@
   resolved_order_.pop_front();
 }
 
-std::vector<ClaimEvent> ClaimBook::TakeEvents() {
+std::vector<ClaimEvent> ClaimTracker::TakeEvents() {
   return std::exchange(events_, {});
 }
 
--- a/claim/claim.h
+++ b/claim/claim.h
@@ -6,7 +6,7 @@
 // can't both send, and the claim of a router that died stops all others: the
 // call may have run, and the caller gets the answer "unknown".
 //
-//   ClaimBook claims(self, {}, chart);
+//   ClaimTracker claims(self, {}, chart);
 //   switch (claims.Begin(now, key, digest, request).kind) {
 //     case ClaimAnswerKind::kWait: ...    // a ClaimEvent follows
 //     case ClaimAnswerKind::kReplay: ...  // done before; same answer again
@@ -69,14 +69,14 @@
 };
 
 // The target's answer, stored so that a retry gets the same one.
-struct KeptAnswer {
+struct StoredAnswer {
   int status = 0;
   std::string content_type;
   std::string body;
   // The body was larger than the limit and is not stored.
   bool too_large = false;
 
-  bool operator==(const KeptAnswer&) const = default;
+  bool operator==(const StoredAnswer&) const = default;
 };
 
 struct ClaimEntry {
@@ -89,7 +89,7 @@
   // Digest of method, path and body: using the same key for another call is the
   // caller's error.
   std::string digest;
-  KeptAnswer answer;
+  StoredAnswer answer;
   // Milliseconds since the Unix epoch.
   std::int64_t at_ms = 0;
 
@@ -100,12 +100,12 @@
 std::optional<ClaimEntry> DecodeClaim(std::string_view text);
 
 enum class ClaimAnswerKind {
-  kWait,       // being written; an event follows
-  kJoin,       // running on this router under another request; an event follows
-  kReplay,     // done before: return `entry.answer`
-  kUnknown,    // may have run: never send it again
-  kMismatch,   // the key was used for another call
-  kElsewhere,  // claimed by another router: retry later
+  kWait,      // being written; an event follows
+  kJoin,      // running on this router under another request; an event follows
+  kReplay,    // done before: return `entry.answer`
+  kUnknown,   // may have run: never send it again
+  kMismatch,  // the key was used for another call
+  kOtherRouter,  // claimed by another router: retry later
 };
 
 struct ClaimAnswer {
@@ -163,10 +163,10 @@
   std::size_t max_resolved = 10000;
 };
 
-class ClaimBook {
+class ClaimTracker {
  public:
   // `chart` must outlive this object.
-  ClaimBook(Incarnation self, ClaimOptions options, const ClaimChart& chart);
+  ClaimTracker(Incarnation self, ClaimOptions options, const ClaimChart& chart);
 
   // Sets the revision at which this incarnation registered.
   void SetRegistered(std::int64_t revision) { registered_ = revision; }
@@ -182,8 +182,8 @@
   void Abandon(Instant now, const ClaimKey& key, const RequestId& request);
 
   // The owner's call was sent: it ran with `answer`, or it may have run.
-  void Done(Instant now, const ClaimKey& key, KeptAnswer answer);
-  void Lost(Instant now, const ClaimKey& key);
+  void MarkDone(Instant now, const ClaimKey& key, StoredAnswer answer);
+  void MarkUnknown(Instant now, const ClaimKey& key);
 
   std::optional<ClaimCommit> Next(Instant now);
   // With kRejected, `found` has one element for each write, in order.
--- a/claim/testing/claim_property_test.cc
+++ b/claim/testing/claim_property_test.cc
@@ -82,7 +82,7 @@
   explicit Node(int n)
       : self("vm-" + std::to_string(n) + "@1"), claims(self, {}, TestChart()) {}
   Incarnation self;
-  ClaimBook claims;
+  ClaimTracker claims;
   std::optional<ClaimCommit> unanswered;
   std::map<RequestId, ClaimKey> waiting;
   std::vector<Running> running;
@@ -178,10 +178,10 @@
     switch (size % 4) {
       case 0:
       case 1:
-        node.claims.Done(now_, key, {200, "text/plain", "answer", false});
+        node.claims.MarkDone(now_, key, {200, "text/plain", "answer", false});
         break;
       case 2:
-        node.claims.Lost(now_, key);
+        node.claims.MarkUnknown(now_, key);
         break;
       default:
         // The target refused the call, so it doesn't count as sent.
--- a/examples/claim_example.cc
+++ b/examples/claim_example.cc
@@ -14,7 +14,7 @@
 // map.
 class Store {
  public:
-  void Perform(ClaimBook& claims, Instant now, const ClaimCommit& commit) {
+  void Perform(ClaimTracker& claims, Instant now, const ClaimCommit& commit) {
     std::vector<FoundClaim> present;
     bool ok = true;
     for (const ClaimWrite& it : commit.writes) {
@@ -45,20 +45,20 @@
   const ClaimKey key{CustomerName("clinic"), IdempotencyKey("consent-12")};
   Store store;
   Instant now{};
-  ClaimBook a(Incarnation("a@1"), {}, chart);
-  ClaimBook b(Incarnation("b@1"), {}, chart);
+  ClaimTracker a(Incarnation("a@1"), {}, chart);
+  ClaimTracker b(Incarnation("b@1"), {}, chart);
   a.Begin(now, key, "digest of the call", RequestId("a-1"), 0);
   b.Begin(now, key, "digest of the call", RequestId("b-1"), 0);
   int sent = 0;
   int replayed = 0;
   for (int round = 0; round < 6; ++round) {
     now += std::chrono::milliseconds(200);
-    for (ClaimBook* it : {&a, &b}) {
+    for (ClaimTracker* it : {&a, &b}) {
       if (auto commit = it->Next(now)) store.Perform(*it, now, *commit);
       for (const ClaimEvent& event : it->TakeEvents()) {
         if (event.kind != ClaimEventKind::kClaimed) continue;
         ++sent;
-        it->Done(now, key, {200, "text/plain", "signed", false});
+        it->MarkDone(now, key, {200, "text/plain", "signed", false});
       }
     }
     const ClaimAnswer again =
--- a/route/retry_budget.h
+++ b/route/retry_budget.h
@@ -15,7 +15,7 @@
 
 class RetryBudget {
  public:
-  void OnFresh() {
+  void OnNewRequest() {
     balance_ = std::min(kMaxBalance, balance_ + kRetriesPerRequest);
   }
 
--- a/route/target_book.cc
+++ b/route/target_book.cc
@@ -23,10 +23,10 @@
 
 }  // namespace
 
-TargetBook::TargetBook(TargetBookOptions options, std::uint64_t seed)
+TargetTable::TargetTable(TargetTableOptions options, std::uint64_t seed)
     : options_(std::move(options)), random_(seed) {}
 
-void TargetBook::SetTargets(const std::vector<TargetSpec>& specs) {
+void TargetTable::SetTargets(const std::vector<TargetSpec>& specs) {
   std::vector<Target> before = std::exchange(targets_, {});
   const auto names_before = std::exchange(by_name_, {});
   for (const TargetSpec& spec : specs) {
@@ -47,7 +47,7 @@
   BuildGroups();
 }
 
-void TargetBook::BuildGroups() {
+void TargetTable::BuildGroups() {
   groups_.clear();
   for (TargetIndex n = 0; n < targets_.size(); ++n) {
     const Target& target = targets_[n];
@@ -69,21 +69,21 @@
   }
 }
 
-std::optional<TargetIndex> TargetBook::Find(const TargetName& name) const {
+std::optional<TargetIndex> TargetTable::Find(const TargetName& name) const {
   auto it = by_name_.find(name);
   if (it == by_name_.end()) return std::nullopt;
   return it->second;
 }
 
-bool TargetBook::Usable(Instant now, const Target& it) const {
+bool TargetTable::Usable(Instant now, const Target& it) const {
   return it.responsive && it.leaving.empty() && it.breaker.Allows(now);
 }
 
-bool TargetBook::HasRoom(const Target& it) const {
+bool TargetTable::HasRoom(const Target& it) const {
   return it.in_flight < it.limit.limit();
 }
 
-double TargetBook::Load(Instant now, const Target& it) const {
+double TargetTable::Load(Instant now, const Target& it) const {
   const double age =
       ToSeconds(now - it.reported_at) / ToSeconds(options_.report_decay);
   // An old report doesn't even show which of two idle targets is better.
@@ -91,36 +91,36 @@
   return it.in_flight + it.reported_other_load * weight;
 }
 
-double TargetBook::Cost(Instant now, const Target& it, bool has_prefix) const {
+double TargetTable::Cost(Instant now, const Target& it, bool has_prefix) const {
   const double load = Load(now, it);
   const double slots = it.spec.slots;
   const double waiting = std::max(0.0, load + 1 - slots) / slots;
   const double busy = std::min(1.0, load / slots);
   double cost = it.mean_service * (waiting + kBatchSlowdown * busy);
-  if (it.spec.hall != options_.own_hall) {
+  if (it.spec.hall != options_.local_hall) {
     cost += ToSeconds(options_.remote_hall_cost);
   }
   if (has_prefix) cost -= ToSeconds(options_.prefix_saving);
   return cost;
 }
 
-TargetIndex TargetBook::RingOwner(const Group& group,
-                                  std::uint64_t hash) const {
+TargetIndex TargetTable::RingOwner(const Group& group,
+                                   std::uint64_t hash) const {
   auto it = std::lower_bound(
       group.ring.begin(), group.ring.end(), hash,
       [](const RingPoint& a, std::uint64_t h) { return a.hash < h; });
   return it == group.ring.end() ? group.ring.front().target : it->target;
 }
 
-bool TargetBook::WithinAffinityBound(Instant now, const Group& group,
-                                     const Target& it) const {
+bool TargetTable::WithinAffinityBound(Instant now, const Group& group,
+                                      const Target& it) const {
   const double mean = static_cast<double>(group.in_flight + 1) /
                       static_cast<double>(group.members.size());
   const double bound = std::ceil(options_.affinity_overload * mean);
   return it.in_flight < bound && Load(now, it) < it.spec.slots;
 }
 
-std::optional<TargetIndex> TargetBook::Choose(
+std::optional<TargetIndex> TargetTable::Choose(
     Instant now, const GroupName& name, std::uint64_t prefix_hash,
     const std::set<TargetName>& excluded) {
   auto found = groups_.find(name);
@@ -153,7 +153,7 @@
 // Finds a target with room when all samples were full or unusable, by a scan
 // from a random position. The scan ends at the first match, so it is long only
 // under overload.
-std::optional<TargetIndex> TargetBook::FirstWithRoom(
+std::optional<TargetIndex> TargetTable::FirstWithRoom(
     Instant now, const Group& group, const std::set<TargetName>& excluded) {
   const std::size_t size = group.members.size();
   std::uniform_int_distribution<std::size_t> any(0, size - 1);
@@ -167,22 +167,22 @@
   return std::nullopt;
 }
 
-bool TargetBook::AnyUsable(Instant now, const GroupName& group) const {
+bool TargetTable::AnyUsable(Instant now, const GroupName& group) const {
   auto it = groups_.find(group);
   if (it == groups_.end()) return false;
   return std::any_of(it->second.members.begin(), it->second.members.end(),
                      [&](TargetIndex n) { return Usable(now, targets_[n]); });
 }
 
-void TargetBook::OnSent(Instant now, TargetIndex n) {
+void TargetTable::OnSent(Instant now, TargetIndex n) {
   Target& it = targets_[n];
   ++it.in_flight;
   it.breaker.OnSent(now);
   for (const GroupName& name : it.spec.groups) ++groups_[name].in_flight;
 }
 
-bool TargetBook::OnEnd(Instant now, const TargetName& name,
-                       TargetOutcome outcome, Duration service_time) {
+bool TargetTable::OnEnd(Instant now, const TargetName& name,
+                        TargetOutcome outcome, Duration service_time) {
   const auto n = Find(name);
   if (!n) return false;
   Target& it = targets_[*n];
@@ -215,8 +215,8 @@
          state_before != BreakerState::kOpen;
 }
 
-void TargetBook::OnLoadReport(Instant now, const TargetName& name,
-                              const LoadReport& report) {
+void TargetTable::OnLoadReport(Instant now, const TargetName& name,
+                               const LoadReport& report) {
   const auto n = Find(name);
   if (!n) return;
   Target& it = targets_[*n];
@@ -225,12 +225,12 @@
   it.reported_at = now;
 }
 
-void TargetBook::SetResponsive(const TargetName& name, bool responsive) {
+void TargetTable::SetResponsive(const TargetName& name, bool responsive) {
   if (const auto n = Find(name)) targets_[*n].responsive = responsive;
 }
 
-void TargetBook::SetLeaving(const TargetName& name, LeavingCause cause,
-                            bool leaving) {
+void TargetTable::SetLeaving(const TargetName& name, LeavingCause cause,
+                             bool leaving) {
   const auto n = Find(name);
   if (!n) return;
   if (leaving) {
@@ -240,7 +240,7 @@
   }
 }
 
-Duration TargetBook::MeanService(const GroupName& group) const {
+Duration TargetTable::MeanService(const GroupName& group) const {
   auto found = groups_.find(group);
   if (found == groups_.end() || found->second.members.empty()) return {};
   double sum = 0;
--- a/route/target_book.h
+++ b/route/target_book.h
@@ -19,7 +19,7 @@
 // A target is used only if it answers, its breaker allows it, it has fewer of
 // this router's requests than its limit, and it isn't leaving.
 //
-//   TargetBook targets({}, seed);
+//   TargetTable targets({}, seed);
 //   targets.SetTargets(specs);
 //   if (auto n = targets.Choose(now, group, prefix_hash, {})) {
 //     const TargetName name = targets.Spec(*n).name;
@@ -83,8 +83,8 @@
   kCancelled,   // the router ended it; shows nothing about the target
 };
 
-struct TargetBookOptions {
-  HallName own_hall;
+struct TargetTableOptions {
+  HallName local_hall;
   // Number of random candidates besides the prefix's target.
   int samples = 2;
   // Bound on the load of a prefix's target, as a multiple of the mean load.
@@ -102,9 +102,9 @@
 // Index of a target; valid until the next `SetTargets`.
 using TargetIndex = std::size_t;
 
-class TargetBook {
+class TargetTable {
  public:
-  TargetBook(TargetBookOptions options, std::uint64_t seed);
+  TargetTable(TargetTableOptions options, std::uint64_t seed);
 
   // Replaces the targets; those whose names stay keep their state.
   void SetTargets(const std::vector<TargetSpec>& specs);
@@ -178,7 +178,7 @@
       Instant now, const Group& group, const std::set<TargetName>& excluded);
   void BuildGroups();
 
-  TargetBookOptions options_;
+  TargetTableOptions options_;
   std::mt19937_64 random_;
   std::vector<Target> targets_;
   std::map<TargetName, TargetIndex> by_name_;
--- a/route/testing/route_test.cc
+++ b/route/testing/route_test.cc
@@ -37,7 +37,7 @@
 
 BOOST_AUTO_TEST_CASE(NeverPassesALimitAndNeverChoosesALeavingTarget) {
   BOOST_TEST(rc::check([](const std::vector<std::uint8_t>& operations) {
-    TargetBook targets({}, 7);
+    TargetTable targets({}, 7);
     targets.SetTargets(Specs(4, 3));
     std::vector<TargetName> running;
     Instant now = kStart;
@@ -62,7 +62,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(FindsTheOnlyRoomThereIs) {
-  TargetBook targets({}, 7);
+  TargetTable targets({}, 7);
   targets.SetTargets(Specs(50, 1));
   for (int n = 0; n < 50; ++n) {
     const auto chosen = targets.Choose(kStart, kGroup, 0, {});
@@ -73,7 +73,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(SamePrefixStaysTogetherUntilItsTargetIsBusy) {
-  TargetBook targets({}, 7);
+  TargetTable targets({}, 7);
   targets.SetTargets(Specs(8, 16));
   const auto first = targets.Choose(kStart, kGroup, 99, {});
   for (int n = 0; n < 20; ++n) {
@@ -84,7 +84,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(LoadOfOthersCountsLessTheOlderItIs) {
-  TargetBook targets({}, 7);
+  TargetTable targets({}, 7);
   targets.SetTargets(Specs(2, 8));
   targets.OnLoadReport(kStart, TargetName("t0"), {8, 4});
   std::map<std::string, int> new_report;
@@ -123,7 +123,7 @@
   RetryBudget budget;
   int retried = 0;
   for (int n = 0; n < 1000; ++n) {
-    budget.OnFresh();
+    budget.OnNewRequest();
     if (budget.TryRetry()) ++retried;
   }
   BOOST_TEST(retried <= 100);
@@ -177,7 +177,7 @@
   QueuedRequest urgent = Queued("b", 1);
   urgent.deadline = now + seconds(1);
   const QueueAnswer answer = queue.Push(now, urgent, milliseconds(100));
-  BOOST_TEST((answer.verdict == QueueVerdict::kTooLate));
+  BOOST_TEST((answer.verdict == QueueVerdict::kMissesDeadline));
   BOOST_TEST(ToSeconds(answer.retry_after) > 5);
   BOOST_TEST(ToSeconds(answer.retry_after) <= 60);
 }
--- a/route/wait_queue.cc
+++ b/route/wait_queue.cc
@@ -17,7 +17,7 @@
   return 1;
 }
 
-Duration WaitQueue::DrainTime(Instant now) const {
+Duration WaitQueue::ExpectedWait(Instant now) const {
   if (size_ == 0) return Duration::zero();
   const double rate = service_rate_.PerSecond(now);
   const double seconds = rate <= 0 ? ToSeconds(options_.max_retry_after)
@@ -30,16 +30,18 @@
 
 QueueAnswer WaitQueue::Push(Instant now, QueuedRequest request,
                             Duration service) {
-  if (size_ >= options_.max_size) return {QueueVerdict::kFull, DrainTime(now)};
+  if (size_ >= options_.max_size)
+    return {QueueVerdict::kFull, ExpectedWait(now)};
   // The service rate gives the expected wait. Without a rate, a wait of zero is
   // assumed, so the request may wait until its deadline.
   const bool rate_known = service_rate_.PerSecond(now) > 0;
-  const Duration wait = rate_known ? DrainTime(now) : Duration::zero();
+  const Duration wait = rate_known ? ExpectedWait(now) : Duration::zero();
   const bool misses_deadline =
       now + service > request.deadline ||
       (size_ > 0 && now + wait + service > request.deadline);
   if (misses_deadline) {
-    return {QueueVerdict::kTooLate, std::max(DrainTime(now), service)};
+    return {QueueVerdict::kMissesDeadline,
+            std::max(ExpectedWait(now), service)};
   }
   request.queued_at = now;
   Insert(std::move(request), false);
--- a/route/wait_queue.h
+++ b/route/wait_queue.h
@@ -47,7 +47,7 @@
   Instant queued_at{};
 };
 
-enum class QueueVerdict { kQueued, kTooLate, kFull };
+enum class QueueVerdict { kQueued, kMissesDeadline, kFull };
 
 struct QueueAnswer {
   QueueVerdict verdict{};
@@ -84,7 +84,7 @@
 
   std::size_t size() const { return size_; }
   // Expected time until all requests that are queued now are served.
-  Duration DrainTime(Instant now) const;
+  Duration ExpectedWait(Instant now) const;
 
  private:
   struct Flow {
--- a/router/admin_api.cc
+++ b/router/admin_api.cc
@@ -54,7 +54,7 @@
 std::string AdminApi::StatusJson() const {
   const RouterContext& context = components_.context;
   const LedgerSync& ledger = context.ledger.sync();
-  const TargetBook& target_table = context.targets;
+  const TargetTable& target_table = context.targets;
   Json budgets = Json::array();
   for (const auto& [name, it] : ledger.accounts()) {
     budgets.push_back({{"budget", name.value},
--- a/router/bundle_driver.cc
+++ b/router/bundle_driver.cc
@@ -71,7 +71,7 @@
 void BundleDriver::Offer(const BundleHead& head, const std::string& text) {
   const BundleVerdict verdict = keeper_.Offer(head, text);
   const std::string version = std::to_string(head.version);
-  if (verdict == BundleVerdict::kTaken) {
+  if (verdict == BundleVerdict::kAccepted) {
     LogEvent(Event::kBundleTaken,
              {{"version", version}, {"applied_by", head.applied_by}});
     on_accepted_();
--- a/router/caller_api.cc
+++ b/router/caller_api.cc
@@ -116,7 +116,7 @@
   if (!basics.headers.key.empty()) {
     basics.digest = Sha256Hex(exchange->path() + "\n" + body);
   }
-  context_.retries.OnFresh();
+  context_.retries.OnNewRequest();
   auto forward = std::make_shared<Forward<ModelJob>>(
       context_, exchange, basics, ModelJob(std::move(call), model));
   requests_.Add(basics.request, forward);
@@ -153,7 +153,7 @@
   basics.needs_claim = !basics.repeatable && !basics.headers.key.empty();
   basics.digest =
       Sha256Hex(call.method + " " + path + "\n" + call.path + "\n" + call.body);
-  context_.retries.OnFresh();
+  context_.retries.OnNewRequest();
   auto forward = std::make_shared<Forward<ServiceJob>>(
       context_, exchange, basics,
       ServiceJob(std::move(call), service->second.price));
--- a/router/claim_driver.h
+++ b/router/claim_driver.h
@@ -1,13 +1,13 @@
-// Runs ClaimBook (claim/claim.h) against the key-value service.
+// Runs ClaimTracker (claim/claim.h) against the key-value service.
 //
 //   claims.tracker().Begin(now, key, digest, request, wall_ms);
 //   claims.Kick();                  // events reach the handler later
 //
-// It owns the ClaimBook and the timers that start the writes. A write without a
-// reply is reported to the ClaimBook as unknown and is repeated. A stored claim
-// that can't be decoded counts as claimed, so that its call never runs again.
-// It relies on the loop, the service's client and the retention lease, which
-// must outlive it.
+// It owns the ClaimTracker and the timers that start the writes. A write
+// without a reply is reported to the ClaimTracker as unknown and is repeated. A
+// stored claim that can't be decoded counts as claimed, so that its call never
+// runs again. It relies on the loop, the service's client and the retention
+// lease, which must outlive it.
 
 #ifndef QUAYTRACK_ROUTER_CLAIM_DRIVER_H_
 #define QUAYTRACK_ROUTER_CLAIM_DRIVER_H_
@@ -31,8 +31,8 @@
               const RetentionLease& retention, const Incarnation& self,
               const ClaimChart& chart, EventHandler handler);
 
-  ClaimBook& tracker() { return tracker_; }
-  const ClaimBook& tracker() const { return tracker_; }
+  ClaimTracker& tracker() { return tracker_; }
+  const ClaimTracker& tracker() const { return tracker_; }
 
   // Schedules a write of pending claims; call after using `tracker()`.
   void Kick();
@@ -45,7 +45,7 @@
   EtcdClient& kv_;
   const Clock& clock_;
   const RetentionLease& retention_;
-  ClaimBook tracker_;
+  ClaimTracker tracker_;
   EventHandler handler_;
   std::unique_ptr<Timer> tick_timer_;
   std::unique_ptr<Timer> group_timer_;
--- a/router/context.h
+++ b/router/context.h
@@ -34,7 +34,7 @@
   Metrics& metrics;
   LedgerDriver& ledger;
   ClaimDriver& claims;
-  TargetBook& targets;
+  TargetTable& targets;
   RetryBudget& retries;
   BillGate& gate;
   PeerDriver& peers;
--- a/router/forward.h
+++ b/router/forward.h
@@ -113,7 +113,7 @@
   bool answered_ = false;
   // Answer to send: a stored one of an earlier call, or the error that the
   // target reported.
-  std::optional<KeptAnswer> replay_;
+  std::optional<StoredAnswer> replay_;
   Refusal refusal_;
 };
 
--- a/router/forward_attempt_impl.h
+++ b/router/forward_attempt_impl.h
@@ -95,7 +95,7 @@
   if (kind == AnswerKind::kRejected) {
     ReleaseTarget(TargetOutcome::kOk);
     replay_ =
-        KeptAnswer{result.status, result.content_type, result.body, false};
+        StoredAnswer{result.status, result.content_type, result.body, false};
     return Refuse({});
   }
   OnAttemptFailed(result, kind);
--- a/router/forward_impl.h
+++ b/router/forward_impl.h
@@ -182,7 +182,7 @@
     case QueueVerdict::kFull:
       return Refuse({RefusalCode::kOverloaded, "the queue is full", "",
                      answer.retry_after});
-    case QueueVerdict::kTooLate:
+    case QueueVerdict::kMissesDeadline:
       return OnQueueExpired(answer.retry_after);
   }
 }
--- a/router/forward_job.h
+++ b/router/forward_job.h
@@ -49,7 +49,7 @@
   // Sends a complete answer, or the held-back end of a stream.
   { job.Deliver(exchange) } -> std::same_as<void>;
   // The answer to store for retries.
-  { job.AnswerToStore() } -> std::same_as<KeptAnswer>;
+  { job.AnswerToStore() } -> std::same_as<StoredAnswer>;
   // Whether the call is cancelled when its caller disconnects. If so:
   // CancelRequest builds the request that ends it at the target, and
   // OnCancelled takes the usage from the reply.
--- a/router/load_poller.cc
+++ b/router/load_poller.cc
@@ -15,7 +15,7 @@
 }  // namespace
 
 LoadPoller::LoadPoller(Loop& loop, HttpClient& http, const Clock& clock,
-                       TargetBook& targets,
+                       TargetTable& targets,
                        std::function<void(const TargetName&)> unresponsive)
     : http_(http),
       clock_(clock),
--- a/router/load_poller.h
+++ b/router/load_poller.h
@@ -1,6 +1,6 @@
-// Polls engines for their load, so that the TargetBook accounts for the
+// Polls engines for their load, so that the TargetTable accounts for the
 // requests that other routers have sent to them. Reports are always somewhat
-// outdated; the TargetBook takes their age into account.
+// outdated; the TargetTable takes their age into account.
 //
 // An engine that doesn't answer two polls in a row is frozen or unreachable. It
 // gets no new requests until it answers, and the callback `unresponsive` lets
@@ -26,7 +26,7 @@
 class LoadPoller {
  public:
   LoadPoller(Loop& loop, HttpClient& http, const Clock& clock,
-             TargetBook& targets,
+             TargetTable& targets,
              std::function<void(const TargetName&)> unresponsive);
 
   struct Polled {
@@ -45,7 +45,7 @@
 
   HttpClient& http_;
   const Clock& clock_;
-  TargetBook& target_table_;
+  TargetTable& target_table_;
   std::vector<Polled> targets_;
   std::function<void(const TargetName&)> on_unresponsive_;
   // Number of consecutive unanswered polls, by target.
--- a/router/model_job.h
+++ b/router/model_job.h
@@ -34,7 +34,7 @@
   Tokens Cost() const;
   Tokens CostIfIncomplete() const;
   void Deliver(HttpExchange& exchange);
-  KeptAnswer AnswerToStore() const { return {}; }
+  StoredAnswer AnswerToStore() const { return {}; }
   HttpRequest CancelRequest(const std::string& address,
                             const RequestId& request) const;
   void OnCancelled(const HttpResult& result);
--- a/router/request_claim.cc
+++ b/router/request_claim.cc
@@ -23,7 +23,7 @@
             kKeyHeader,
             {}};
   }
-  const bool may_still_run = answer.kind == ClaimAnswerKind::kElsewhere &&
+  const bool may_still_run = answer.kind == ClaimAnswerKind::kOtherRouter &&
                              !context_.owner_is_dead(answer.entry);
   if (may_still_run) {
     return {RefusalCode::kInProgress, "a call with this key is running",
@@ -37,18 +37,18 @@
           {}};
 }
 
-void RequestClaim::OnRan(KeptAnswer stored_answer) {
+void RequestClaim::OnRan(StoredAnswer stored_answer) {
   if (!std::exchange(owned_, false)) return;
   storing_ = true;
-  context_.claims.tracker().Done(context_.Now(), Key(),
-                                 std::move(stored_answer));
+  context_.claims.tracker().MarkDone(context_.Now(), Key(),
+                                     std::move(stored_answer));
   context_.claims.Kick();
 }
 
 void RequestClaim::OnOutcomeUnknown() {
   if (!std::exchange(owned_, false)) return;
   storing_ = true;
-  context_.claims.tracker().Lost(context_.Now(), Key());
+  context_.claims.tracker().MarkUnknown(context_.Now(), Key());
   context_.claims.Kick();
 }
 
--- a/router/request_claim.h
+++ b/router/request_claim.h
@@ -1,9 +1,9 @@
 // The claim of one request: a call that must not be repeated is sent at most
 // once.
 //
-// Drives the ClaimBook (claim/claim.h) for one request with `needs_claim`, from
-// start to end. For other requests OnRan, OnOutcomeUnknown and Withdraw may be
-// called too and have no effect.
+// Drives the ClaimTracker (claim/claim.h) for one request with `needs_claim`,
+// from start to end. For other requests OnRan, OnOutcomeUnknown and Withdraw
+// may be called too and have no effect.
 //
 //   RequestClaim claim(context, basics);
 //   if (const auto answer = claim.Begin()) ...   // replayed, or refused
@@ -46,7 +46,7 @@
   // The call has ended: OnRan with an answer, which is stored for retries,
   // OnOutcomeUnknown without knowing whether it ran. Both start to store the
   // end.
-  void OnRan(KeptAnswer stored_answer);
+  void OnRan(StoredAnswer stored_answer);
   void OnOutcomeUnknown();
   // The call did not run.
   void Withdraw();
--- a/router/router.cc
+++ b/router/router.cc
@@ -29,9 +29,9 @@
                      RandomHex(kRandomBytes));
 }
 
-TargetBookOptions TargetOptions(const RouterSettings& settings) {
-  TargetBookOptions out;
-  out.own_hall = HallName(settings.hall);
+TargetTableOptions TargetOptions(const RouterSettings& settings) {
+  TargetTableOptions out;
+  out.local_hall = HallName(settings.hall);
   return out;
 }
 
@@ -286,7 +286,7 @@
   WaitQueue& queue = found->second;
   const Instant now = clock_.Now();
   for (const QueuedRequest& it : queue.TakeExpired(now)) {
-    const Duration wait = queue.DrainTime(now);
+    const Duration wait = queue.ExpectedWait(now);
     requests_.With(it.request, [&](auto& f) { f.OnQueueExpired(wait); });
   }
   while (auto next = queue.Pop(now)) {
--- a/router/router.h
+++ b/router/router.h
@@ -84,7 +84,7 @@
   EtcdClient kv_;
   RetentionLease retention_;
   Metrics metrics_;
-  TargetBook targets_;
+  TargetTable targets_;
   RetryBudget retries_;
   std::map<GroupName, WaitQueue> queues_;
   std::map<TargetName, std::string> addresses_;
--- a/router/service_job.cc
+++ b/router/service_job.cc
@@ -31,8 +31,8 @@
   exchange.Reply(reply);
 }
 
-KeptAnswer ServiceJob::AnswerToStore() const {
-  KeptAnswer out;
+StoredAnswer ServiceJob::AnswerToStore() const {
+  StoredAnswer out;
   out.status = answer_.status;
   out.content_type = answer_.content_type;
   out.too_large = answer_.body.size() > kMaxStoredAnswerBytes;
--- a/router/service_job.h
+++ b/router/service_job.h
@@ -38,7 +38,7 @@
   // A call that may have run is billed as one that did.
   Tokens CostIfIncomplete() const { return price_; }
   void Deliver(HttpExchange& exchange);
-  KeptAnswer AnswerToStore() const;
+  StoredAnswer AnswerToStore() const;
   HttpRequest CancelRequest(const std::string&, const RequestId&) const {
     return {};
   }
