--- a/http/target_connection.cc
+++ b/http/target_connection.cc
@@ -109,7 +109,7 @@
     const auto keep = shared_from_this();
     if (!call) return;
     if (may_send && !may_send()) {
-      return owner.Finish(keep, CallEnd::kHeldBack, false);
+      return owner.Finish(keep, CallEnd::kCancelledBeforeSend, false);
     }
     socket->Write(std::exchange(unsent, {}));
   }
--- a/http/target_connection.h
+++ b/http/target_connection.h
@@ -49,7 +49,7 @@
   kComplete,  // a complete answer arrived
   kNotSent,   // the kernel took no byte: the request can't have run
   kBroken,    // sent at least in part, no complete answer: it may have run
-  kHeldBack,  // not sent, because `may_send` returned false
+  kCancelledBeforeSend,  // not sent, because `may_send` returned false
 };
 
 struct TargetCall {
@@ -60,7 +60,7 @@
   // Called just before `bytes` are written to a connection that had to be
   // opened first: opening may take as long as its timeout, and the reasons for
   // the choice of the address may have changed. If it returns false, nothing is
-  // written and the call ends as `kHeldBack`. Optional.
+  // written and the call ends as `kCancelledBeforeSend`. Optional.
   std::function<bool()> may_send = {};
 };
 
@@ -110,7 +110,7 @@
   void CloseIdle(const std::string& address);
   // Sets the handler for idle connections that end before the time that the
   // target gave (`Keep-Alive`): the process of the target may have ended.
-  void OnEndedEarly(std::function<void(const std::string& address)> action) {
+  void OnUnexpectedEnd(std::function<void(const std::string& address)> action) {
     on_unexpected_end_ = std::move(action);
   }
   // Number of connections opened so far.
--- a/http/testing/connections_test.cc
+++ b/http/testing/connections_test.cc
@@ -129,7 +129,7 @@
     ++checks;
     return false;
   });
-  BOOST_TEST((it.end == CallEnd::kHeldBack));
+  BOOST_TEST((it.end == CallEnd::kCancelledBeforeSend));
   BOOST_TEST(checks == 1);
   RunFor(milliseconds(50));
   BOOST_TEST(target.received.empty());
@@ -146,7 +146,7 @@
 // that closes without an announcement is a sign of it.
 BOOST_FIXTURE_TEST_CASE(AnIdleConnectionThatEndsEarlyIsTold, Fixture) {
   std::vector<std::string> reported;
-  connections.OnEndedEarly(
+  connections.OnUnexpectedEnd(
       [&](const std::string& it) { reported.push_back(it); });
   target.answers = {kAnswer};
   Call(target.Address());
--- a/kv/follower.cc
+++ b/kv/follower.cc
@@ -39,8 +39,8 @@
   if (paused_) return;
   wait_start_revision_ = revision_;
   const Duration timeout =
-      has_failed_ ? std::min(kTimeoutAfterFailure, options_.patience)
-                  : options_.patience;
+      has_failed_ ? std::min(kTimeoutAfterFailure, options_.wait_timeout)
+                  : options_.wait_timeout;
   call_ = store_.Wait(options_.prefix, revision_, timeout,
                       [this](const StoreChanges& it) { OnChanges(it); });
 }
@@ -96,7 +96,7 @@
   CallLater(options_.spacing);
 }
 
-void StoreFollower::AskAgain() {
+void StoreFollower::RestartWait() {
   if (has_read_ && call_) Wait();
 }
 
--- a/kv/follower.h
+++ b/kv/follower.h
@@ -5,7 +5,7 @@
 //   options.prefix = "op/";
 //   StoreFollower follower(loop, store, options, handlers);
 //   follower.Start();
-//   follower.AskAgain();          // the current wait may have been lost
+//   follower.RestartWait();          // the current wait may have been lost
 //
 // It reads all items, then waits for changes after that revision (a long poll),
 // and reads all items again when the store no longer has the changes since. A
@@ -56,10 +56,10 @@
   struct Options {
     std::string prefix;
     // Longest duration of one wait for changes. A wait that the network or the
-    // store has lost is noticed a little later than this, or when `AskAgain` is
-    // called. With 3 s, waits were a third of the calls of a router in a large
-    // fleet.
-    Duration patience = std::chrono::milliseconds(8000);
+    // store has lost is noticed a little later than this, or when `RestartWait`
+    // is called. With 3 s, waits were a third of the calls of a router in a
+    // large fleet.
+    Duration wait_timeout = std::chrono::milliseconds(8000);
     // Average delay from a failed call to the next. It doubles with each
     // further failure up to `longest_retry`.
     Duration retry_after = std::chrono::milliseconds(250);
@@ -86,7 +86,7 @@
   void Start() { Read(); }
   // Replaces the current wait, which may have been lost, by a new one. Does
   // nothing during a read or the delay before the next call.
-  void AskAgain();
+  void RestartWait();
   // Makes no calls until `Resume`.
   void Pause();
   // Continues after the last revision that was reported or skipped.
@@ -99,7 +99,7 @@
   // from elsewhere; `latest` is the revision of the last of them.
   void SkipTo(StoreRevision revision, StoreRevision latest);
   // Both hold from the next call on; see `Options`.
-  void SetPatience(Duration timeout) { options_.patience = timeout; }
+  void SetWaitTimeout(Duration timeout) { options_.wait_timeout = timeout; }
   void SetRetry(Duration first, Duration longest);
 
   // A wait is running, so the store would report a change at once.
--- a/kv/testing/follower_test.cc
+++ b/kv/testing/follower_test.cc
@@ -183,16 +183,16 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(OnlyAWaitIsAskedAgain, FollowFixture) {
-  follower.AskAgain();
+  follower.RestartWait();
   BOOST_TEST(store.calls() == 1U);
   AnswerRead(StoreEnd::kDone);
-  follower.AskAgain();
+  follower.RestartWait();
   BOOST_TEST(store.waits.started == 2U);
   BOOST_TEST(AnswerWait({StoreEnd::kDone, false, 5, {{{"a/b", "", 5}, true}}}));
   // The wait before it was cancelled.
   BOOST_TEST(!AnswerWait({StoreEnd::kDone, false, 5, {}}));
   // The follower is in the delay before its next call.
-  follower.AskAgain();
+  follower.RestartWait();
   BOOST_TEST(store.waits.started == 2U);
 }
 
@@ -213,15 +213,15 @@
   StoreFollower follower(loop, store, options, on);
   follower.Start();
   BOOST_TEST(store.AnswerRange("a/", {StoreEnd::kDone, {1, 5}, {}}));
-  BOOST_TEST((store.last_patience["a/"] == options.patience));
+  BOOST_TEST((store.last_timeout["a/"] == options.wait_timeout));
   BOOST_TEST(store.AnswerWait("a/", {StoreEnd::kUnknown, false, {}, {}}));
   RunFor(loop, milliseconds(20));
-  BOOST_TEST((store.last_patience["a/"] < milliseconds(200)));
+  BOOST_TEST((store.last_timeout["a/"] < milliseconds(200)));
   // Its answer names the later era, so all items are read again.
   BOOST_TEST(store.AnswerWait("a/", {StoreEnd::kDone, false, {2, 5}, {}}));
   BOOST_TEST(store.AnswerRange("a/", {StoreEnd::kDone, {2, 5}, {}}));
   BOOST_TEST(follower.revision() == StoreRevision(2, 5));
-  BOOST_TEST((store.last_patience["a/"] == options.patience));
+  BOOST_TEST((store.last_timeout["a/"] == options.wait_timeout));
 }
 
 }  // namespace
--- a/kv/testing/scripted_store.h
+++ b/kv/testing/scripted_store.h
@@ -36,7 +36,7 @@
   }
   CallPtr Wait(const std::string& prefix, StoreRevision, Duration timeout,
                std::function<void(const StoreChanges&)> done) override {
-    last_patience[prefix] = timeout;
+    last_timeout[prefix] = timeout;
     return waits.Add(prefix, std::move(done));
   }
   std::uint64_t calls() const override {
@@ -93,7 +93,7 @@
     std::list<std::shared_ptr<Entry>> entries;
   };
   // Timeout of the latest wait for each prefix.
-  std::map<std::string, Duration> last_patience;
+  std::map<std::string, Duration> last_timeout;
   OpenCalls<StoreSnapshot> ranges;
   OpenCalls<StoreWritten> writes;
   OpenCalls<StoreChanges> waits;
--- a/relay/attempt.cc
+++ b/relay/attempt.cc
@@ -66,7 +66,7 @@
 }
 
 AttemptResult EvaluateAttempt(const AttemptFacts& facts) {
-  if (facts.end == CallEnd::kHeldBack) {
+  if (facts.end == CallEnd::kCancelledBeforeSend) {
     return {false, Ran::kNo, PlacementOutcome::kNeutral};
   }
   if (facts.end == CallEnd::kNotSent) {
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -115,7 +115,7 @@
   });
   store_.OnNewEra([this] { loop_.Post([this] { OnStoreEra(); }); });
   budgets_.SetHandlers(BudgetHandlers());
-  connections_.OnEndedEarly([this](const std::string& address) {
+  connections_.OnUnexpectedEnd([this](const std::string& address) {
     placement_.OnConnectionsLost(clock_.Now(), address);
   });
   ServeCallers();
--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -365,7 +365,7 @@
       state == RelayState::kStreaming || state == RelayState::kResuming;
   const AttemptResult result = EvaluateAttempt(
       {end, answer_facts_, answer_.status, events_.InEvent(), streaming});
-  if (end == CallEnd::kHeldBack) return OnSendHeldBack(result);
+  if (end == CallEnd::kCancelledBeforeSend) return OnSendHeldBack(result);
   if (end == CallEnd::kBroken) ReportLost();
   const bool error = IsServerError(answer_.status);
   if (!result.answered || (error && MaySendAgain(FactsForRetry(result.ran)))) {
--- a/relay/state_feed.cc
+++ b/relay/state_feed.cc
@@ -129,7 +129,7 @@
 void StateFeed::OnAnswered() {
   MarkCurrent(Duration::zero());
   links_.store_answered(*this);
-  if (IsReader()) follower_.SetPatience(NextWaitTimeout());
+  if (IsReader()) follower_.SetWaitTimeout(NextWaitTimeout());
 }
 
 Duration StateFeed::NextWaitTimeout() {
@@ -211,13 +211,13 @@
       follower_.SetRetry(kFirstRetry, kMaxRetry);
       return follower_.Resume();
     case FeedAction::kReadForAll:
-      follower_.SetPatience(NextWaitTimeout());
+      follower_.SetWaitTimeout(NextWaitTimeout());
       follower_.SetRetry(kReaderRetry, kReaderRetry);
       return follower_.ReadAgain();
     case FeedAction::kReadForItself:
       has_items_ = false;
       items_.Clear();
-      follower_.SetPatience(options_.follower.patience);
+      follower_.SetWaitTimeout(options_.follower.wait_timeout);
       return follower_.SetRetry(kFirstRetry, kMaxRetry);
   }
 }
@@ -441,7 +441,7 @@
 }
 
 void StateFeed::RestartWait() {
-  if (state() != FeedState::kNotified) follower_.AskAgain();
+  if (state() != FeedState::kNotified) follower_.RestartWait();
 }
 
 // The store may hold a wait that starts at a revision of an earlier era even
--- a/relay/testing/attempt_test.cc
+++ b/relay/testing/attempt_test.cc
@@ -137,8 +137,8 @@
 const EndCase kEndCases[] = {
     {"not sent", Facts(CallEnd::kNotSent, 0, false), false, Ran::kNo,
      PlacementOutcome::kFailed},
-    {"held back", Facts(CallEnd::kHeldBack, 0, false), false, Ran::kNo,
-     PlacementOutcome::kNeutral},
+    {"held back", Facts(CallEnd::kCancelledBeforeSend, 0, false), false,
+     Ran::kNo, PlacementOutcome::kNeutral},
     {"broken before an answer", Facts(CallEnd::kBroken, 0, false), false,
      Ran::kUnknown, PlacementOutcome::kFailed},
     {"broken within an answer", Facts(CallEnd::kBroken, 200), false,
--- a/relay/testing/state_feed_test.cc
+++ b/relay/testing/state_feed_test.cc
@@ -126,7 +126,7 @@
   feed.SetRole(true, 1);
   BOOST_REQUIRE(store.AnswerRange("t/", {StoreEnd::kDone, 1, {}}));
   BOOST_REQUIRE(store.AnswerWait("t/", {StoreEnd::kDone, false, 1, {}}));
-  BOOST_TEST((store.last_patience.at("t/") <= milliseconds(500)));
+  BOOST_TEST((store.last_timeout.at("t/") <= milliseconds(500)));
 }
 
 BOOST_AUTO_TEST_CASE(WithoutReadersARouterFollowsTheStoreItself) {
