--- a/base/jitter.h
+++ b/base/jitter.h
@@ -1,7 +1,7 @@
 // Random pauses, so that processes that started together, or lost the same
 // dependency at the same moment, don't all retry together.
 //
-//   const Duration pause = DrawPart(random, retry_after, 0.7, 1.3);
+//   const Duration pause = Jittered(random, retry_after, 0.7, 1.3);
 //
 // The caller owns the source of random numbers, and documents why it spreads
 // its pauses and how widely. Nothing here fails.
@@ -18,7 +18,7 @@
 
 // `base` times a factor that is uniformly distributed from `min_factor` to
 // `max_factor`.
-inline Duration DrawPart(std::minstd_rand& random, Duration base,
+inline Duration Jittered(std::minstd_rand& random, Duration base,
                          double min_factor, double max_factor) {
   std::uniform_real_distribution<double> factor(min_factor, max_factor);
   return std::chrono::duration_cast<Duration>(base * factor(random));
--- a/dispatch/testing/cold_fleet_test.cc
+++ b/dispatch/testing/cold_fleet_test.cc
@@ -93,7 +93,7 @@
         if (Wants(it, now)) Send(it, now);
       }
     }
-    return MostWithin(arrivals_, seconds(1));
+    return MaxCountWithin(arrivals_, seconds(1));
   }
   std::size_t arrivals() const { return arrivals_.size(); }
 
--- a/http/target_connection.cc
+++ b/http/target_connection.cc
@@ -96,7 +96,7 @@
       if (unexpected) owner.on_unexpected_end_(address);
       return;
     }
-    const bool taken = socket->bytes_taken() > taken_before;
+    const bool taken = socket->bytes_accepted() > taken_before;
     if (end == SocketEnd::kClosed && parser.FeedEnd() && complete) {
       return owner.Finish(keep, CallEnd::kComplete, false);
     }
@@ -131,7 +131,7 @@
   // `bytes` and `may_send` of a call that waits for the connection to open.
   std::string unsent;
   std::function<bool()> may_send;
-  // `bytes_taken` of the socket at the start of the current call.
+  // `bytes_accepted` of the socket at the start of the current call.
   std::uint64_t taken_before = 0;
   // The current answer isn't the expected one.
   bool skipping = false;
@@ -161,7 +161,7 @@
 
 bool CallHandle::sent() const {
   return connection_ &&
-         connection_->socket->bytes_taken() > connection_->taken_before;
+         connection_->socket->bytes_accepted() > connection_->taken_before;
 }
 
 bool CallHandle::connecting() const {
@@ -226,7 +226,7 @@
   out->connection_ = connection;
   connection->call = out;
   connection->complete = false;
-  connection->taken_before = connection->socket->bytes_taken();
+  connection->taken_before = connection->socket->bytes_accepted();
   if (connection->socket->connected()) {
     connection->socket->Write(call.bytes);
   } else {
--- a/kv/follower.cc
+++ b/kv/follower.cc
@@ -142,7 +142,7 @@
 }
 
 void StoreFollower::RetryLater() {
-  CallLater(DrawPart(random_, retry_after_, kMinJitter, kMaxJitter));
+  CallLater(Jittered(random_, retry_after_, kMinJitter, kMaxJitter));
   retry_after_ = std::min(retry_after_ * 2, options_.longest_retry);
 }
 
--- a/net/tcp_socket.cc
+++ b/net/tcp_socket.cc
@@ -151,7 +151,7 @@
 std::size_t TcpSocket::SendNow(std::string_view bytes) {
   const ssize_t n = send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   if (n < 0) return 0;
-  bytes_taken_ += static_cast<std::uint64_t>(n);
+  bytes_accepted_ += static_cast<std::uint64_t>(n);
   loop_.traffic().bytes_out += static_cast<std::uint64_t>(n);
   ++loop_.traffic().pieces_out;
   return static_cast<std::size_t>(n);
--- a/net/tcp_socket.h
+++ b/net/tcp_socket.h
@@ -18,7 +18,7 @@
 // Bytes that the kernel doesn't accept are buffered, without a bound, and sent
 // later. Code that forwards a stream watches `Unsent` and pauses its source.
 //
-// `bytes_taken` counts the bytes that the kernel has accepted. If the kernel
+// `bytes_accepted` counts the bytes that the kernel has accepted. If the kernel
 // has accepted no byte of a request, the request can't have reached its target;
 // this is how the relay knows that an attempt has not run.
 //
@@ -106,7 +106,7 @@
   // Bytes written that the kernel has not accepted.
   std::size_t Unsent() const { return buffer_.size() - buffer_sent_; }
   // Bytes that the kernel has accepted since the connection was made.
-  std::uint64_t bytes_taken() const { return bytes_taken_; }
+  std::uint64_t bytes_accepted() const { return bytes_accepted_; }
 
  private:
   TcpSocket(Loop& loop, int fd) : loop_(loop), fd_(fd) {}
@@ -125,7 +125,7 @@
   // Bytes for the kernel, of which it has accepted the first `buffer_sent_`.
   std::string buffer_;
   std::size_t buffer_sent_ = 0;
-  std::uint64_t bytes_taken_ = 0;
+  std::uint64_t bytes_accepted_ = 0;
 };
 
 // Accepts connections at "host:port". Destroying it stops listening; accepted
--- a/relay/fleet_driver.cc
+++ b/relay/fleet_driver.cc
@@ -85,7 +85,7 @@
 Duration FleetDriver::DrawSpread() {
   const bool is_reader = directory_.IsReader(directory_.self().vm);
   if (is_reader || directory_.IsSmall()) return Duration::zero();
-  return DrawPart(random_, ReadingSpread(directory_.size()), 0, 1);
+  return Jittered(random_, ReadingSpread(directory_.size()), 0, 1);
 }
 
 void FleetDriver::Settle() {
@@ -128,7 +128,7 @@
 }
 
 void FleetDriver::RunLater(Duration delay, void (FleetDriver::*step)()) {
-  timer_ = loop_.After(DrawPart(random_, delay, kMinJitter, kMaxJitter),
+  timer_ = loop_.After(Jittered(random_, delay, kMinJitter, kMaxJitter),
                        [this, step] { (this->*step)(); });
 }
 
--- a/relay/peer_mesh.cc
+++ b/relay/peer_mesh.cc
@@ -35,7 +35,7 @@
 
 Duration PeerMesh::DrawFirstCheck() {
   std::minstd_rand random{std::random_device{}()};
-  return DrawPart(random, kCheckInterval, kMinFirstCheckShare, 1);
+  return Jittered(random, kCheckInterval, kMinFirstCheckShare, 1);
 }
 
 void PeerMesh::CheckFrom(Duration first_check) {
--- a/relay/rollout_driver.cc
+++ b/relay/rollout_driver.cc
@@ -205,7 +205,7 @@
   if (entry.pending == event) return;
   entry.pending = event;
   entry.call.reset();
-  entry.write_at = context_.clock.Now() + DrawPart(random_, kWriteSpread, 0, 1);
+  entry.write_at = context_.clock.Now() + Jittered(random_, kWriteSpread, 0, 1);
 }
 
 // Requests a write that another decider may have started and not finished.
@@ -258,7 +258,7 @@
       break;
     case StoreEnd::kRefused:
     case StoreEnd::kUnknown:
-      entry.write_at = now + DrawPart(random_, kRetryAfter, 0.7, 1.3);
+      entry.write_at = now + Jittered(random_, kRetryAfter, 0.7, 1.3);
       return;
   }
   CheckOne(service, entry);
--- a/relay/state_feed.cc
+++ b/relay/state_feed.cc
@@ -96,7 +96,7 @@
                 FollowerHandlers()),
       machine_(context.chart),
       current_at_(context.clock.Now()),
-      fresh_for_(options_.fresh_for + DrawPart(random_, kFreshSpread, 0, 1)) {}
+      fresh_for_(options_.fresh_for + Jittered(random_, kFreshSpread, 0, 1)) {}
 
 void StateFeed::StartFromReaders(Duration within) {
   if (HasState() || IsReader()) return;
@@ -135,7 +135,7 @@
 Duration StateFeed::NextWaitTimeout() {
   const Instant now = context_.clock.Now();
   const bool busy = now - store_answered_at_ < kRecentAnswer;
-  return DrawPart(random_, busy ? kMaxWaitTimeout : ReaderWaitTimeout(readers_),
+  return Jittered(random_, busy ? kMaxWaitTimeout : ReaderWaitTimeout(readers_),
                   kMinTimeoutShare, 1);
 }
 
--- a/relay/target_follower.cc
+++ b/relay/target_follower.cc
@@ -65,7 +65,7 @@
   if (routers == 0) return feed_.Start();
   std::minstd_rand random{std::random_device{}()};
   const Duration spread = kReadInterval * static_cast<long>(routers);
-  feed_.StartFromReaders(kReaderTimeout + DrawPart(random, spread, 0, 1));
+  feed_.StartFromReaders(kReaderTimeout + Jittered(random, spread, 0, 1));
 }
 
 StateFeed::Handlers TargetFollower::StoreHandlers() {
--- a/testing/most_within.h
+++ b/testing/most_within.h
@@ -1,6 +1,6 @@
 // The largest number of times from a list that lie within one span.
 //
-//   const std::size_t most = MostWithin(arrivals, std::chrono::seconds(1));
+//   const std::size_t most = MaxCountWithin(arrivals, std::chrono::seconds(1));
 //
 // Tests use it for limits on the events in any second. The span may begin at
 // any of the times and excludes its end. `T` is a time or a number.
@@ -15,7 +15,7 @@
 namespace quaytrack {
 
 template <class T, class Span>
-std::size_t MostWithin(std::vector<T> times, Span span) {
+std::size_t MaxCountWithin(std::vector<T> times, Span span) {
   std::sort(times.begin(), times.end());
   std::size_t most = 0;
   std::size_t first = 0;
