--- a/base/testing/parse_number_test.cc
+++ b/base/testing/parse_number_test.cc
@@ -1,3 +1,5 @@
+// Tests which texts ParseNumber and ParseDecimal accept.
+
 #include "base/parse_number.h"
 
 #include <boost/test/unit_test.hpp>
--- a/fleet/closed_halls.h
+++ b/fleet/closed_halls.h
@@ -2,7 +2,7 @@
 //
 //   ClosedHalls halls;
 //   halls.Replace(closed, revision);            // a complete read of the store
-//   halls.Note(hall, {revision, true});         // one change of the store
+//   halls.ApplyChange(hall, {revision, true});  // one change of the store
 //   halls.Merge(message.halls);                 // the states of a peer
 //   if (halls.IsClosed(entry.hall)) ...         // send nothing more there
 //
--- a/fleet/target_registry.h
+++ b/fleet/target_registry.h
@@ -17,7 +17,7 @@
 // it or while entries can't be read:
 //
 //   registry.MarkLeaving(name, started_at);
-//   send(registry.announced_leaving());           // peers can't read it either
+//   send(registry.announced_leaving());      // peers can't read it either
 //
 // A target may start again under its name. Its starts are distinguished by
 // their times, and a new start has a new state: an earlier start that left
--- a/kv/follower.h
+++ b/kv/follower.h
@@ -5,7 +5,7 @@
 //   options.prefix = "op/";
 //   StoreFollower follower(loop, store, options, handlers);
 //   follower.Start();
-//   follower.RestartWait();          // the current wait may have been lost
+//   follower.RestartWait();       // the current wait may have been lost
 //
 // It reads all items, then waits for changes after that revision (a long poll),
 // and reads all items again when the store no longer has the changes since. A
--- a/relay/remote_holds.h
+++ b/relay/remote_holds.h
@@ -2,9 +2,9 @@
 // other routers, the holders (fleet/fleet.h).
 //
 //   holds.RequestHold(now, {id, customer, amount, holders, done});
-//   ...                            // done(verdict), when a holder has answered
-//   holds.Settle(now, id, cost);   // the tokens to charge, 0 if nothing ran
-//   holds.CheckTimeouts(now);         // every few milliseconds until `Idle`
+//   ...                           // done(verdict), when a holder has answered
+//   holds.Settle(now, id, cost);  // the tokens to charge, 0 if nothing ran
+//   holds.CheckTimeouts(now);     // every few milliseconds until `Idle`
 //
 // The holder counts an amount as held until it receives the cost, so no more
 // than its grant is spent, whichever messages are lost:
