--- a/base/cbor.h
+++ b/base/cbor.h
@@ -30,9 +30,9 @@
   return {bytes.begin(), bytes.end()};
 }
 
-// Decodes `bytes` and returns the result of `read`. Empty if they aren't CBOR,
-// or if `read` throws a nlohmann::json::exception, as `at` and `get` do for a
-// missing key or a wrong type.
+// Decodes `bytes` and returns the result of `read`. Returns std::nullopt if
+// they aren't CBOR, or if `read` throws a nlohmann::json::exception, as `at`
+// and `get` do for a missing key or a wrong type.
 //
 // The parser has a mode without exceptions, but even there it throws for an
 // impossible length (docs/FINDINGS.md), so the exceptions are caught here.
--- a/base/clock.h
+++ b/base/clock.h
@@ -14,7 +14,7 @@
 //   Instant   monotonic, for delays, deadlines and rates inside one process. On
 //             Linux it counts from the machine's boot, so processes on one
 //             machine may compare instants until it reboots
-//             (prepaid/prepaid_record.h, withheld parts);
+//             (withheld tokens, prepaid/prepaid_record.h);
 //   WallTime  calendar time, for records that people read. It may jump, so
 //             nothing that affects safety is derived from it.
 //
@@ -38,7 +38,8 @@
 inline constexpr WallTime kLatestWallTime{
     std::chrono::milliseconds(std::int64_t{1} << 47)};
 
-// Source of both kinds of time. Tests implement it with a settable time.
+// Source of monotonic and calendar time. Tests implement it with a settable
+// time.
 class Clock {
  public:
   virtual ~Clock() = default;
--- a/base/digest.h
+++ b/base/digest.h
@@ -8,7 +8,7 @@
 //
 // Values that were stored or sent depend on `Sha256Hex`, `StableHash` and
 // `RendezvousWeight`: two versions of quaytrack in one fleet must compute the
-// same, so none of them may ever change.
+// same results, so none of these functions may ever change.
 //
 // Lengths are in bytes. Only decoding can fail; it then returns std::nullopt.
 
@@ -23,27 +23,28 @@
 
 namespace quaytrack {
 
-// SHA-256 of `data`, 64 lower-case hex digits.
+// Returns the SHA-256 of `data` as 64 lower-case hex digits.
 std::string Sha256Hex(std::string_view data);
 
-// Two lower-case hex digits for each byte.
+// Encodes each byte as two lower-case hex digits.
 std::string HexEncode(std::string_view bytes);
-// Base64 with padding (RFC 4648, section 4).
+// Encodes as Base64 with padding (RFC 4648, section 4).
 std::string Base64Encode(std::string_view bytes);
 
-// Empty when `text` isn't valid padded base64.
+// Returns std::nullopt if `text` isn't valid Base64 with padding.
 std::optional<std::string> Base64Decode(std::string_view text);
 
-// `bytes` random bytes as hex; for names that must not collide.
+// Returns `bytes` random bytes as hex, for names that must not collide.
 std::string RandomHex(std::size_t bytes);
 
-// A 64-bit hash: FNV-1a with the finalizer of MurmurHash3. It doesn't resist
-// collisions between inputs that are chosen on purpose.
+// Returns a 64-bit hash: FNV-1a with the finalizer of MurmurHash3. The hash
+// doesn't resist collisions between inputs that are chosen on purpose.
 std::uint64_t StableHash(std::string_view data);
 
-// The weight of `name` for `key` in rendezvous hashing (Thaler and Ravishankar
-// 1998): the name with the highest weight gets the key. Processes that know the
-// same names choose the same one, and removing a name moves only its own keys.
+// Returns the weight of `name` for `key` in rendezvous hashing (Thaler and
+// Ravishankar 1998): the name with the highest weight gets the key. Processes
+// that know the same names choose the same name, and removing a name moves only
+// its keys.
 std::uint64_t RendezvousWeight(const std::string& name, const std::string& key);
 
 }  // namespace quaytrack
--- a/base/enum_table.h
+++ b/base/enum_table.h
@@ -1,8 +1,8 @@
 // Names for the values of an `enum class`, kept in one table each.
 //
 // The names appear in logs, metrics, messages and settings, and are parsed from
-// the latter two. A table stands beside its enum, so that it is in view when a
-// value is added that needs a name.
+// messages and settings. A table is defined next to its enum, so that the table
+// is in view when a value is added that needs a name.
 //
 //   enum class Color { kRed, kBlue };
 //   template <>
@@ -41,7 +41,8 @@
   EnumTable<E>::kEntries;
 };
 
-// The name of `value`; "?" if the table lacks it, which is a bug.
+// Returns the name of `value`, or "?" if the table lacks `value`, which is a
+// bug.
 template <NamedEnum E>
 constexpr std::string_view NameOf(E value) {
   for (const auto& it : EnumTable<E>::kEntries) {
@@ -50,7 +51,7 @@
   return "?";
 }
 
-// The value with this name; empty if there is none.
+// Returns the value with this name, or std::nullopt if there is none.
 template <NamedEnum E>
 constexpr std::optional<E> FromName(std::string_view name) {
   for (const auto& it : EnumTable<E>::kEntries) {
--- a/base/ids.h
+++ b/base/ids.h
@@ -35,7 +35,8 @@
 using ModelName = Id<struct ModelTag>;
 using ServiceName = Id<struct ServiceTag>;
 using TargetName = Id<struct TargetTag>;
-// One run of a target: a target that ended may start again under its name.
+// Identifies one run of a target's process: a target that ended may start again
+// under its name.
 using TargetStart = Id<struct TargetStartTag>;
 // A version of a target's software.
 using VersionName = Id<struct VersionTag>;
@@ -46,13 +47,13 @@
 using RequestId = Id<struct RequestTag>;
 // Identifies requests of a caller that are equal (relay/fingerprint.h).
 using Fingerprint = Id<struct FingerprintTag>;
-// The caller's Idempotency-Key header.
+// The value of the caller's Idempotency-Key header.
 using IdempotencyKey = Id<struct IdempotencyTag>;
 
 // One run of a process on one VM: "<vm>@<suffix>". The suffix differs with each
-// start, so that a restart is a new incarnation, even at the same address. A
-// relay's suffix is random ("vm-7@5e0c91d2"); a router's begins with its start
-// time ("vm-7@<start>-<random>").
+// start of the process, so that a restart is a new incarnation, even at the
+// same address. A relay's suffix is random ("vm-7@5e0c91d2"); a router's begins
+// with its start time ("vm-7@<start>-<random>").
 using Incarnation = Id<struct IncarnationTag>;
 
 // Prepaid units, signed so that a difference can be negative. In the relay they
@@ -60,7 +61,7 @@
 // model tokens and service calls with the prices in the bundle.
 using Tokens = std::int64_t;
 
-// The VM part of an incarnation; all of its text if it has no '@'.
+// Returns the VM part of an incarnation, or all of its text if it has no '@'.
 inline VmName VmOf(const Incarnation& it) {
   return VmName(it.value.substr(0, it.value.rfind('@')));
 }
--- a/base/jitter.h
+++ b/base/jitter.h
@@ -16,8 +16,8 @@
 
 namespace quaytrack {
 
-// `base` times a factor that is uniformly distributed from `min_factor` to
-// `max_factor`.
+// Returns `base` times a factor that is uniformly distributed from `min_factor`
+// to `max_factor`.
 inline Duration Jittered(std::minstd_rand& random, Duration base,
                          double min_factor, double max_factor) {
   std::uniform_real_distribution<double> factor(min_factor, max_factor);
--- a/base/log.cc
+++ b/base/log.cc
@@ -84,7 +84,7 @@
   return out;
 }
 
-// The line that reports dropped lines; it carries no time.
+// Formats the line that reports dropped lines; the line has no time.
 std::string DroppedLine(std::uint64_t lines) {
   const EventInfo& info = InfoOf(Event::kLogDropped);
   const std::string count = std::to_string(lines);
@@ -117,7 +117,8 @@
   LogSink sink_;
 };
 
-// Owned by log4cxx, which is destroyed before our static objects would be.
+// log4cxx owns the appender. This pointer is weak, because log4cxx is destroyed
+// before static objects of this program would be.
 std::weak_ptr<SinkAppender> g_appender;
 
 }  // namespace
@@ -130,8 +131,8 @@
 void SetUpLog(LogFormat format, LogLevel level) {
   g_format = format;
   g_level = level;
-  // The message of a JSON line includes the level; LogEvent strips its opening
-  // brace, as the pattern supplies one.
+  // The message of a JSON line includes the level; LogEvent strips the
+  // message's opening brace, as the pattern contains one.
   const char* pattern = format == LogFormat::kJson
                             ? "{\"time\":\"%d{yyyy-MM-ddTHH:mm:ss.SSS}{GMT}Z\","
                               "%m%n"
--- a/base/log.h
+++ b/base/log.h
@@ -58,17 +58,18 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(d).count());
 }
 
-// Sends events of `level` and above to standard error, which it makes
-// non-blocking. Called once, before the first event.
+// Sends events of `level` and above to standard error, which this call makes
+// non-blocking. Call this once, before the first event.
 void SetUpLog(LogFormat format, LogLevel level);
 
-// Lines dropped since the process started because the reader was slow.
+// Number of lines dropped since the process started because the log's reader
+// was slow.
 std::uint64_t LogLinesDropped();
 
 // Whether an event is printed; lets hot paths skip building fields.
 bool LogEnabled(Event event);
 
-// Prints the event with its fields in this order, if its level is on.
+// Prints the event with its fields in this order, if its level is enabled.
 void LogEvent(Event event, std::initializer_list<LogField> fields);
 
 }  // namespace quaytrack
--- a/base/log_sink.h
+++ b/base/log_sink.h
@@ -8,7 +8,7 @@
 // Bytes that the descriptor doesn't accept at once are buffered, up to
 // `kMaxBuffered`; beyond that, whole lines are dropped and counted. Once the
 // buffer has room again, a separate line reports the count, so that a log shows
-// where its gaps are. This way a slow reader of the log doesn't slow down the
+// where its gaps are. So a slow reader of the log doesn't slow down the
 // requests that the process serves.
 //
 // The buffer is flushed by the next `Write`; there is no timer. Its content is
@@ -32,16 +32,16 @@
 
 class LogSink {
  public:
-  // Bytes buffered for a slow reader: some hundred lines.
+  // Maximum number of bytes buffered for a slow reader: some hundred lines.
   static constexpr std::size_t kMaxBuffered = 64 * 1024;
 
   // Makes `fd` non-blocking. `report` formats the line that reports a number
   // of dropped lines.
   LogSink(int fd, std::function<std::string(std::uint64_t)> report);
 
-  // `line` ends with a newline. It is written, buffered or dropped as a whole.
+  // Writes, buffers or drops all of `line`, which ends with a newline.
   void Write(std::string_view line);
-  // Lines dropped so far.
+  // Number of lines dropped so far.
   std::uint64_t dropped() const { return dropped_; }
 
  private:
--- a/base/parse_number.h
+++ b/base/parse_number.h
@@ -20,8 +20,8 @@
 
 namespace quaytrack {
 
-// `T` is an integer type. (There is no concept for it, as peer_link.cc is
-// compiled as C++17.)
+// Parses an integer of type `T`. (No concept restricts `T`, as net/peer_link.cc
+// is compiled as C++17.)
 template <class T>
 std::optional<T> ParseNumber(std::string_view text, int base = 10) {
   T out{};
@@ -31,7 +31,7 @@
   return out;
 }
 
-// A decimal number without an exponent; finite.
+// Parses a finite decimal number without an exponent.
 inline std::optional<double> ParseDecimal(std::string_view text) {
   double out = 0;
   const char* end = text.data() + text.size();
--- a/base/residency.h
+++ b/base/residency.h
@@ -32,12 +32,14 @@
       : regions_(std::move(regions)) {}
 
   bool IsNowhere() const { return regions_ && regions_->empty(); }
-  // An empty name stands for an unknown region.
+  // Whether requests may be processed in `region`. An empty name stands for an
+  // unknown region.
   bool Allows(const RegionName& region) const {
     return !regions_ || (!region.empty() && regions_->contains(region));
   }
 
-  // The regions that both allow.
+  // Returns the residency that allows the regions that both this one and
+  // `other` allow.
   Residency And(const Residency& other) const {
     if (!regions_) return other;
     if (!other.regions_) return *this;
--- a/chart/chart.h
+++ b/chart/chart.h
@@ -13,8 +13,8 @@
 //      "gone":   {"ignore": ["push", "burn"]}}}
 //
 // A chart is bound to three enums (states, events, actions) through their name
-// tables (base/enum_table.h). Binding fails unless the states agree, each event
-// is handled in each state, and every action is known.
+// tables (base/enum_table.h). Binding fails unless the chart and the enum have
+// the same states, each state handles each event, and every action is known.
 //
 //   auto chart = BindChart<DoorState, DoorEvent, DoorAction>(text);
 //   ChartMachine machine(*chart);
@@ -70,7 +70,8 @@
 
 namespace chart_internal {
 
-// One transition, by indexes into the name tables. -1 stands for no action.
+// One transition, by indexes into the name tables. An action of -1 stands for
+// no action.
 struct Transition {
   int to = 0;
   int action = -1;
@@ -157,7 +158,8 @@
   return Chart<State, Event, Action>(std::move(table));
 }
 
-// The current state of one object in a chart. The chart must outlive it.
+// The current state of one object in a chart. The chart must outlive the
+// machine.
 template <NamedEnum State, NamedEnum Event, NamedEnum Action>
 class ChartMachine {
  public:
--- a/cli/budget_commands.cc
+++ b/cli/budget_commands.cc
@@ -26,7 +26,7 @@
   std::int64_t tokens = 0;
 };
 
-// All budgets; empty if the service can't be reached.
+// Returns all budgets, or std::nullopt if the service can't be reached.
 std::optional<std::map<BudgetName, BudgetEntry>> ReadBudgets(KvSession& kv) {
   const EtcdTxnReply reply = kv.Get(keys::kLedgerPrefix, true);
   if (reply.end != EtcdEnd::kOk) return std::nullopt;
--- a/cli/exit_codes.h
+++ b/cli/exit_codes.h
@@ -1,6 +1,6 @@
 // Exit codes of the quaytrack command. Operators' scripts read them, so none
-// may change its meaning. docs/OPERATING-router.md lists them. A command that a
-// signal ends has the shell's code.
+// may change its meaning. docs/OPERATING-router.md lists them. If a signal ends
+// a command, the shell sets the exit code.
 
 #ifndef QUAYTRACK_CLI_EXIT_CODES_H_
 #define QUAYTRACK_CLI_EXIT_CODES_H_
--- a/cli/explain.cc
+++ b/cli/explain.cc
@@ -12,7 +12,8 @@
   std::string_view kind;
 };
 
-// Events that change a router's state, with the kind of state.
+// Events that change a router's state, with the kind of state that each
+// changes.
 constexpr auto kStateEvents =
     std::to_array<StateEvent>({{"QT1001", "process"},
                                {"QT1003", "process"},
@@ -23,8 +24,8 @@
                                {"QT1409", "budget"},
                                {"QT1412", "predecessor"}});
 
-// The time of a line: a text line begins with it, a JSON line has it as its
-// first field.
+// Returns the time of a line. A text line begins with the time, and a JSON line
+// has it as its first field.
 std::string TimeOf(const std::string& line) {
   constexpr std::string_view kJsonTime = "{\"time\":\"";
   const bool json = line.starts_with(kJsonTime);
--- a/cli/explain.h
+++ b/cli/explain.h
@@ -31,10 +31,10 @@
   void Add(const std::string& source, const std::string& line);
 
   bool empty() const { return lines_.empty(); }
-  // Lines that carry no event number.
+  // Number of lines that carry no event number.
   std::size_t unreadable() const { return unreadable_; }
-  // The lines in order of time, after the state of each source before its first
-  // line.
+  // Returns the lines about the request in order of time, after the state of
+  // each source before its first such line.
   std::string Text() const;
 
  private:
--- a/cli/kv_session.h
+++ b/cli/kv_session.h
@@ -4,9 +4,10 @@
 //   const EtcdTxnReply reply = kv.Get(keys::kBundleHead);
 //   if (reply.end != EtcdEnd::kOk) return Unreachable();
 //
-// It runs its own loop, and is for processes that do nothing else meanwhile. A
-// read that fails is repeated at the other endpoints; a transaction that writes
-// is sent only once, as it may have taken effect without an answer.
+// A session runs its own loop, and is for processes that do nothing else
+// meanwhile. A read that fails is repeated at the other endpoints; a
+// transaction that writes is sent only once, as it may have taken effect
+// without an answer.
 
 #ifndef QUAYTRACK_CLI_KV_SESSION_H_
 #define QUAYTRACK_CLI_KV_SESSION_H_
@@ -25,7 +26,7 @@
 
 namespace quaytrack {
 
-// Timeout of one call. It is longer than a router's, which has callers waiting;
+// Timeout of one call. A router's timeout is shorter, because its callers wait;
 // an operator would only repeat the command.
 inline constexpr Duration kCommandTimeout = std::chrono::seconds(5);
 
@@ -52,8 +53,8 @@
     return Read(txn);
   }
 
-  // A transaction that only reads. The client switches to its next endpoint
-  // when one doesn't answer, so each endpoint is tried once.
+  // Runs a transaction that only reads. The client switches to its next
+  // endpoint when one doesn't answer, so each endpoint is tried once.
   EtcdTxnReply Read(const EtcdTxn& txn) {
     EtcdTxnReply out;
     for (std::size_t n = 0; n < endpoints_; ++n) {
--- a/http/caller_connection.cc
+++ b/http/caller_connection.cc
@@ -12,13 +12,14 @@
 // doesn't lose the refusal.
 constexpr Duration kLingerTime = std::chrono::seconds(2);
 // How long a new connection waits for its first request when idle connections
-// are closed. A caller sends it as soon as the connection is open, so this is a
-// round trip to callers, with a margin for a slow link.
+// are closed. A caller sends its first request as soon as the connection is
+// open, so this time is a round trip to callers, with a margin for a slow link.
 constexpr Duration kFirstRequestTime = std::chrono::milliseconds(100);
 // Bytes of the next request that are accepted during an answer; reading stops
 // once they are exceeded.
 constexpr std::size_t kMaxPending = 64 * 1024;
-// Bytes for the framing of a chunk: its size in hex digits and two line ends.
+// Upper bound on the bytes that frame a chunk: its size in hex digits and two
+// line ends.
 constexpr std::size_t kChunkFraming = 16;
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
@@ -109,11 +110,12 @@
   phase_ = Phase::kAnswering;
   request_.read = server_.clock_.Now();
   handing_over_ = true;
-  // Posted, so that an immediate answer doesn't reenter the parser.
+  // The handler is called in a posted task, so that an immediate answer doesn't
+  // reenter the parser.
   server_.loop_.Post([keep = shared_from_this()] {
     keep->handing_over_ = false;
     if (!keep->open()) return;
-    // The caller gave up before its request was read.
+    // The caller has disconnected before the handler got its request.
     if (keep->socket_->PeerHasClosed()) return keep->Abort();
     keep->server_.handler_(keep, std::exchange(keep->request_, {}));
   });
@@ -190,8 +192,8 @@
   on_drained_ = nullptr;
   head_read_ = false;
   progress_at_ = server_.clock_.Now();
-  // A stream that started before `StartClosing` didn't announce a close, so the
-  // caller may send another request.
+  // A stream that started before `StartClosing` didn't announce that the
+  // connection closes, so the caller may send another request.
   if (!keep_alive_ || server_.closing_) return CloseAfterFlush();
   phase_ = Phase::kIdle;
   if (pending_.empty()) return;
@@ -211,16 +213,16 @@
   flushing_ = true;
 }
 
-// No request is running, but the caller may not have read all of the last
-// answer.
+// Closes a connection without a running request, after the unsent rest of its
+// last answer.
 void CallerConnection::CloseIdle() {
   keep_alive_ = false;
   if (socket_->Unsent() == 0) return Abort();
   CloseAfterFlush();
 }
 
-// The caller may still be sending; closing now would reset the connection and
-// lose the answer.
+// Closes only the sending side: the caller may still be sending, and closing
+// both sides would reset the connection and lose the answer.
 void CallerConnection::Linger() {
   flushing_ = false;
   progress_at_ = server_.clock_.Now();
--- a/http/caller_connection.h
+++ b/http/caller_connection.h
@@ -13,14 +13,14 @@
 // the connection ends.
 //
 // An aborted answer never looks complete: a stream is sent in chunks, and
-// `Abort` omits the last one. After the last answer of a connection the writing
-// side is closed first, and bytes that the caller still sends are read for a
-// while; closing at once would reset the connection and lose the answer.
+// `Abort` omits the last chunk. After the last answer of a connection the
+// writing side is closed first, and bytes that the caller still sends are read
+// for a while; closing at once would reset the connection and lose the answer.
 //
-// It owns its socket and the bytes of a next request that arrive during an
-// answer, and relies on its server for limits, clock and loop. Sizes are in
-// bytes. Calls on a connection that has ended do nothing, so they need no check
-// of `open`.
+// A connection owns its socket and the bytes of a next request that arrive
+// during an answer, and relies on its server for limits, clock and loop. Sizes
+// are in bytes. Calls on a connection that has ended do nothing, so they need
+// no check of `open`.
 
 #ifndef QUAYTRACK_HTTP_CALLER_CONNECTION_H_
 #define QUAYTRACK_HTTP_CALLER_CONNECTION_H_
@@ -37,21 +37,22 @@
 
 namespace quaytrack {
 
-// Limits on the size and duration of a caller's requests. The relay sets those
-// of the configuration; the defaults apply before that, and to servers that
-// serve no callers. They equal those of config/service_map.h.
+// Limits on the size and duration of a caller's requests. The relay sets the
+// limits of the configuration. The defaults apply until then, and to servers
+// that serve no callers; they equal the defaults in config/service_map.h.
 struct CallerLimits {
   HttpLimits http;
-  // From the first byte of a request to the end of its head.
+  // Limit on the time from the first byte of a request to the end of its head.
   Duration head_timeout = std::chrono::seconds(3);
-  // Between two requests, and without progress inside a body.
+  // Limit on the time between two requests, and on the time without progress
+  // inside a body.
   Duration idle_timeout = std::chrono::seconds(15);
 };
 
 struct CallerRequest {
   HttpHead head;
   std::string body;
-  // When its first byte and its last byte arrived.
+  // When the first byte and the last byte of the request arrived.
   Instant begun{};
   Instant read{};
 };
@@ -69,17 +70,18 @@
   void StartStream(const HttpHead& head);
   void WriteChunk(std::string_view bytes);
   void EndStream();
-  // Ends the connection in the middle of an answer.
+  // Ends the connection at once, also in the middle of an answer.
   void Abort();
 
-  // Called at most once for each exchange, when the caller leaves before its
-  // answer has ended.
+  // Sets the action that is called, at most once for each exchange, when the
+  // caller leaves before its answer has ended.
   void OnGone(std::function<void()> action) { on_gone_ = std::move(action); }
-  // Called when the kernel has taken all unsent bytes.
+  // Sets the action that is called when the kernel has accepted all unsent
+  // bytes.
   void OnDrained(std::function<void()> action) {
     on_drained_ = std::move(action);
   }
-  // Number of bytes that the kernel hasn't taken yet.
+  // Number of written bytes that the kernel hasn't accepted yet.
   std::size_t Unsent() const { return socket_->Unsent(); }
   bool open() const { return socket_->open(); }
 
@@ -104,7 +106,7 @@
   void CloseAfterFlush();
   void CloseIdle();
   void Linger();
-  // The connection is so new that its first request may be on its way.
+  // Whether the connection is so new that its first request may be on its way.
   bool AwaitsFirstRequest(Instant now) const;
   // Ends the connection if a time limit has passed.
   void Sweep(Instant now);
@@ -116,17 +118,19 @@
   // Received bytes that the parser hasn't used yet, such as the next request.
   std::string pending_;
   CallerRequest request_;
-  // No byte of a request has arrived yet.
+  // Whether no byte of a request has arrived yet.
   bool unused_ = true;
-  // The head of the current request is complete.
+  // Whether the head of the current request is complete.
   bool head_read_ = false;
-  // Another request may follow the current one.
+  // Whether another request may follow the current one.
   bool keep_alive_ = true;
-  // The kernel hasn't taken all of the last answer.
+  // Whether the connection is ending and the kernel hasn't accepted all of its
+  // last answer.
   bool flushing_ = false;
-  // A complete request has arrived; the handler gets it in a posted task.
+  // Whether a complete request waits for the posted task that passes it to the
+  // handler.
   bool handing_over_ = false;
-  // `Consume` is running; it isn't entered again.
+  // Whether `Consume` is running; a nested call does nothing.
   bool consuming_ = false;
   // Time of the last progress, for the time limits.
   Instant progress_at_{};
--- a/http/caller_server.cc
+++ b/http/caller_server.cc
@@ -66,7 +66,8 @@
 }
 
 void CallerServer::Forget(const std::shared_ptr<CallerConnection>& it) {
-  // Posted, since a function of the connection may still be running.
+  // The connection is released in a posted task, since one of its functions may
+  // still be running.
   loop_.Post([keep = it] {});
   connections_.erase(it);
 }
--- a/http/caller_server.h
+++ b/http/caller_server.h
@@ -12,9 +12,9 @@
 // `StartClosing` makes each answer the last of its connection, `StopListening`
 // accepts no new connections, `CloseIdle` ends those without a request.
 //
-// It owns the connections and relies on the loop and the clock, which must
-// outlive it. Its one error is an address that it can't listen on; an accepted
-// connection handles its own failures.
+// The server owns the connections and relies on the loop and the clock, which
+// must outlive it. Its only error is an address that it can't listen on; an
+// accepted connection handles its own failures.
 
 #ifndef QUAYTRACK_HTTP_CALLER_SERVER_H_
 #define QUAYTRACK_HTTP_CALLER_SERVER_H_
@@ -46,7 +46,8 @@
 
   // `handler` gets each request that keeps to the limits and the protocol.
   void Serve(Handler handler) { handler_ = std::move(handler); }
-  // Sizes apply to requests that start from now on, times at once.
+  // Sets the limits. Sizes apply to requests that start from now on, times at
+  // once.
   void SetLimits(const CallerLimits& limits) { limits_ = limits; }
   const CallerLimits& limits() const { return limits_; }
 
@@ -63,7 +64,8 @@
   std::size_t connections() const { return connections_.size(); }
   // Number of connections that aren't idle although no handler has a request of
   // theirs: the first request is expected or a request is being read, or the
-  // last bytes of an answer are unsent. A process that ends now would cut them.
+  // last bytes of an answer are unsent. If the process ended now, it would cut
+  // these requests and answers.
   std::size_t Unfinished() const;
 
  private:
--- a/http/http_parser.cc
+++ b/http/http_parser.cc
@@ -12,7 +12,8 @@
 // The library has one bound on a head, in bytes, for the whole process; it must
 // be above the limit of any `HttpParser`.
 constexpr std::uint32_t kLibraryHeadBytes = 1 << 20;
-// Bounds the work for one message, as each header is examined several times.
+// Maximum number of headers of a message. It bounds the work for one message,
+// as each header is examined several times.
 constexpr std::size_t kMaxHeaders = 200;
 
 bool HasControl(std::string_view text) {
@@ -22,7 +23,8 @@
   });
 }
 
-// The lenient build of the library accepts blanks in names.
+// Whether a header's name is neither empty nor contains blanks, which the
+// lenient build of the library accepts.
 bool IsPlainName(std::string_view name) {
   return !name.empty() && name.find_first_of(" \t") == std::string_view::npos;
 }
@@ -35,13 +37,14 @@
   HttpLimits limits;
   http_parser library{};
   HttpHead head;
-  // The last header has part of its value, so a name starts a new header.
+  // Whether the last header has part of its value, so that a name starts a new
+  // header.
   bool in_value = false;
-  // Some bytes of the current message have arrived.
+  // Whether some bytes of the current message have arrived.
   bool in_message = false;
   bool in_head = true;
   bool complete = false;
-  // Bytes of the current message; of its head, until the head is complete.
+  // Bytes fed while the head of the current message was incomplete.
   std::size_t head_bytes = 0;
   std::size_t body_bytes = 0;
   HttpFault fault = HttpFault::kNone;
@@ -134,7 +137,8 @@
     return 0;
   }
 
-  // Empty `bytes` mean that the connection has ended.
+  // Passes `bytes` to the library. Empty `bytes` mean that the connection has
+  // ended.
   std::size_t Execute(std::string_view bytes) {
     static const http_parser_settings kCallbacks = Callbacks();
     return http_parser_execute(&library, &kCallbacks, bytes.data(),
@@ -147,7 +151,8 @@
   }
 };
 
-// Callbacks for the library; `data` of its parser points to the state.
+// Returns the callbacks for the library; `data` of the library's parser points
+// to the state.
 http_parser_settings HttpParser::State::Callbacks() {
   http_parser_settings on;
   http_parser_settings_init(&on);
--- a/http/target_connection.cc
+++ b/http/target_connection.cc
@@ -7,17 +7,20 @@
 namespace quaytrack {
 namespace {
 
-// An idle connection is closed at most this long before its target may close
-// it, and at least `kSweepEvery` less than this.
+// An idle connection is closed before its target may close it: at most this
+// long before, and at least this less the interval of the checks,
+// `kSweepEvery`.
 constexpr Duration kCloseMargin = std::chrono::milliseconds(1500);
 // How long a target is assumed to keep an idle connection if it gives no time.
 constexpr Duration kIdleDefault = std::chrono::seconds(4);
 // Interval of the checks for connections that have been idle for too long.
 constexpr Duration kSweepEvery = std::chrono::milliseconds(500);
-// Beyond this number, the connection idle for longest is closed.
+// Maximum number of idle connections to one address; beyond it, the connection
+// that has been idle for longest is closed.
 constexpr std::size_t kMaxIdlePerAddress = 16;
 // How long sent bytes may stay unacknowledged, and how long a connection may
-// take to open. It is short, to detect unreachable targets soon.
+// take to open. This time is short, so that an unreachable target is detected
+// within a second.
 constexpr Duration kUserTimeout = std::chrono::milliseconds(900);
 // Bytes of the head and the body of an answer. The body is in effect unlimited,
 // because reading pauses when the caller is slow.
@@ -25,8 +28,8 @@
 // Lower statuses are those of interim answers.
 constexpr int kFirstFinalStatus = 200;
 
-// Reads `Keep-Alive: timeout=5`; without it, returns the default. An unreadable
-// number counts as 0, so that the connection isn't kept for long.
+// Reads `Keep-Alive: timeout=5`; without this header, returns the default. An
+// unreadable number counts as 0, so that the connection isn't kept for long.
 Duration IdleTimeOf(const HttpHead& head) {
   constexpr std::string_view kName = "timeout=";
   const std::string* text = head.Find("keep-alive");
@@ -53,7 +56,7 @@
 
   void OnHead(HttpHead& head) {
     skipping = true;
-    // The final answer follows an interim one (1xx).
+    // This is an interim answer (1xx), and the final answer follows.
     if (head.status < kFirstFinalStatus) return;
     idle_time = IdleTimeOf(head);
     if (!head.keep_alive) reusable = false;
@@ -131,13 +134,13 @@
   // `bytes` and `may_send` of a call that waits for the connection to open.
   std::string unsent;
   std::function<bool()> may_send;
-  // `bytes_accepted` of the socket at the start of the current call.
+  // Value of the socket's `bytes_accepted` at the start of the current call.
   std::uint64_t taken_before = 0;
-  // The current answer isn't the expected one.
+  // Whether the current answer isn't the expected one.
   bool skipping = false;
-  // The expected answer is complete.
+  // Whether the expected answer is complete.
   bool complete = false;
-  // Another request may follow the current one.
+  // Whether another request may follow the current one.
   bool reusable = true;
   Duration idle_time = kIdleDefault;
   Instant idle_since{};
--- a/http/target_connection.h
+++ b/http/target_connection.h
@@ -5,9 +5,9 @@
 //   auto call = targets.Start({"10.0.0.9:80", bytes}, handlers);
 //   call->Cancel();
 //
-// Last check. A call that has to wait for its connection to open asks
-// `TargetCall::may_send` just before its first byte whether it may still be
-// sent there. On an open connection a call is written at once.
+// A last check before sending: a call that has to wait for its connection to
+// open asks `TargetCall::may_send` just before its first byte whether it may
+// still be sent there. On an open connection a call is written at once.
 //
 // For callers, the important fact about a failure is whether the request may
 // have run (`CallEnd`). So a call ends as not sent only if the kernel took no
@@ -16,15 +16,16 @@
 // A connection is reused only after a clean exchange. A target may send a
 // delayed surplus answer on a kept connection: the handler `head` decides
 // whether an answer is the expected one; others are skipped, and the connection
-// isn't reused. Nor is one that receives bytes without a request, or an answer
-// before the request is fully sent. An idle connection is closed before its
-// target would close it (`Keep-Alive: timeout=`), because a request that meets
-// that close would count as one that may have run.
+// isn't reused. A connection isn't reused either after it has received bytes
+// without a request, or an answer before the request was fully sent. An idle
+// connection is closed before its target would close it (`Keep-Alive:
+// timeout=`), because a request that meets that close would count as one that
+// may have run.
 //
-// It owns the idle connections; a running call owns its connection. It relies
-// on the loop and the clock, which must outlive it, and it must outlive its
-// calls. Handlers are called from the loop, never from inside `Start`. If the
-// connection can't be opened, the call ends as not sent.
+// A TargetConnections owns the idle connections; a running call owns its
+// connection. The loop and the clock must outlive the TargetConnections, which
+// must outlive its calls. Handlers are called from the loop, never from inside
+// `Start`. If the connection can't be opened, the call ends as not sent.
 
 #ifndef QUAYTRACK_HTTP_TARGET_CONNECTION_H_
 #define QUAYTRACK_HTTP_TARGET_CONNECTION_H_
@@ -55,7 +56,7 @@
 struct TargetCall {
   // "host:port".
   std::string address;
-  // Head and body as sent.
+  // Head and body of the request, as sent.
   std::string bytes;
   // Called just before `bytes` are written to a connection that had to be
   // opened first: opening may take as long as its timeout, and the reasons for
@@ -79,10 +80,11 @@
 
   // Ends the call without a report and closes its connection.
   void Cancel();
-  // Stop and restart reading, so that a slow consumer slows the target down.
+  // Stop and restart reading the answer, so that a slow consumer slows the
+  // target down.
   void PauseReading();
   void ResumeReading();
-  // The kernel has taken some byte of the request.
+  // Whether the kernel has accepted some byte of the request.
   bool sent() const;
   // Whether the call waits for its connection to open.
   bool connecting() const;
@@ -130,7 +132,8 @@
 
   Loop& loop_;
   const Clock& clock_;
-  // By address; the most recently used one is at the end and is reused first.
+  // Idle connections by address. The most recently used one is at the end of
+  // its list and is reused first.
   std::map<std::string, std::vector<ConnectionPtr>> idle_;
   std::uint64_t opened_ = 0;
   std::function<void(const std::string&)> on_unexpected_end_ = [](const auto&) {
--- a/kv/follower.cc
+++ b/kv/follower.cc
@@ -63,9 +63,8 @@
   Wait();
 }
 
-// Handles a snapshot that is older than the known state: later changes were
-// skipped during the read, or a peer has announced a later era than that of the
-// store.
+// Handles a snapshot that is older than the known state: `SkipTo` was called
+// during the read, or a peer has announced a later era than that of the store.
 void StoreFollower::IgnoreOlder(StoreRevision revision) {
   if (revision < read_start_revision_ && !std::exchange(logged_older_, true)) {
     LogEvent(Event::kReadingOlder, {{"prefix", options_.prefix},
@@ -83,7 +82,8 @@
   SetReachable(changes.end == StoreEnd::kDone);
   if (changes.end != StoreEnd::kDone) return RetryLater();
   if (changes.revision.era != wait_start_revision_.era) return Read();
-  // Some of the changes may be older than those skipped during the wait.
+  // `SkipTo` was called during the wait, and some changes in this answer may be
+  // older than the skipped ones; so they are ignored.
   if (wait_start_revision_ < revision_) return CallLater(options_.spacing);
   if (on_.answered) on_.answered();
   revision_ = std::max(revision_, changes.revision);
--- a/kv/follower.h
+++ b/kv/follower.h
@@ -7,15 +7,16 @@
 //   follower.Start();
 //   follower.RestartWait();       // the current wait may have been lost
 //
-// It reads all items, then waits for changes after that revision (a long poll),
-// and reads all items again when the store no longer has the changes since. A
-// failed call is retried after `retry_after`, without limit; what the handlers
-// have received stays valid. Handlers receive all items, each change, and
-// whether the store is reachable.
+// A follower reads all items, then waits for changes after the revision of that
+// read (a long poll). The follower reads all items again when the store no
+// longer has all changes since the revision of a wait. A failed call is retried
+// after `retry_after`, without limit; what the handlers have received stays
+// valid. Handlers receive all items, each change, and whether the store is
+// reachable.
 //
 // Each answer costs a call, and a single change is answered at once. When many
-// changes come one by one, as at the start of a fleet, each would cost every
-// follower a call; so after an answer with changes the next wait starts
+// changes come one by one, as at the start of a fleet, each change would cost
+// every follower a call; so after an answer with changes the next wait starts
 // `spacing` later, and its answer holds all changes since.
 //
 // The store answers with the current value of an item. If an item changes twice
@@ -29,12 +30,14 @@
 //
 // A store that was restored from an older copy (kv/store.h) is in a later era.
 // All items are then read again, however the revision numbers compare;
-// `CheckEra` does so when another call has shown the era. The store may hold a
-// wait from a number that exists in the later era too without an answer, so the
-// first wait after a failed call is short: its answer names the era.
+// `CheckEra` does so when another call has shown the era. If the revision
+// number of a wait exists in the later era too, the store may leave the wait
+// unanswered; so the first wait after a failed call is short, as its answer
+// names the era.
 //
-// It owns its call and timer. Loop and store must outlive it. Revisions are
-// those of the store (kv/store.h); times are measured by the loop.
+// A follower owns its call and timer. Loop and store must outlive the follower.
+// Revisions are those of the store (kv/store.h); times are measured by the
+// loop.
 
 #ifndef QUAYTRACK_KV_FOLLOWER_H_
 #define QUAYTRACK_KV_FOLLOWER_H_
@@ -55,29 +58,32 @@
  public:
   struct Options {
     std::string prefix;
-    // Longest duration of one wait for changes. A wait that the network or the
-    // store has lost is noticed a little later than this, or when `RestartWait`
-    // is called. With 3 s, waits were a third of the calls of a router in a
-    // large fleet.
+    // Timeout of one wait for changes. A wait that the network or the store has
+    // lost is noticed a little later than this, or when `RestartWait` is
+    // called. With 3 s, waits were a third of the calls of a router in a large
+    // fleet.
     Duration wait_timeout = std::chrono::milliseconds(8000);
-    // Average delay from a failed call to the next. It doubles with each
+    // Average delay from a failed call to the next. The delay doubles with each
     // further failure up to `longest_retry`.
     Duration retry_after = std::chrono::milliseconds(250);
     Duration longest_retry = std::chrono::milliseconds(250);
-    // From an answer with changes to the next wait. Without it each of 143
-    // targets cost each router a call at the start of a fleet.
+    // Delay from an answer with changes to the next wait. Without this delay,
+    // each of 143 targets cost each router a call at the start of a fleet.
     Duration spacing = std::chrono::milliseconds(200);
   };
   struct Handlers {
-    // All items that exist; any other reported before has been removed.
+    // Receives all items that exist; any other item that was reported before
+    // has been removed.
     std::function<void(const std::vector<StoreItem>& items)> replaced;
     std::function<void(const StoreChange& change)> changed;
-    // After each read, and each answer that brought changes.
+    // Called after each read of all items, and after each answer that contained
+    // changes.
     std::function<void()> settled;
-    // The store became unreachable (false) or reachable again (true).
+    // Called when the store has become unreachable (false) or reachable again
+    // (true).
     std::function<void(bool reachable)> reachable;
-    // The store has answered. The calls of `replaced` or `changed` that follow,
-    // if any, complete the state as of this answer. Optional.
+    // Called when the store has answered. If calls of `replaced` or `changed`
+    // follow, they complete the state as of this answer. Optional.
     std::function<void()> answered = {};
   };
 
@@ -89,28 +95,31 @@
   void RestartWait();
   // Makes no calls until `Resume`.
   void Pause();
-  // Continues after the last revision that was reported or skipped.
+  // Makes calls again: waits for changes after `revision()`, or reads all items
+  // if they haven't been read.
   void Resume();
-  // Reads all items again.
+  // Reads all items again; this also ends a pause.
   void ReadAgain() { Resume(&StoreFollower::Read); }
-  // Reads all items again if the store is in a later era than the last read.
+  // Reads all items again if the store is in a later era than `revision()`,
+  // unless the follower is paused or is reading.
   void CheckEra();
   // Tells the follower that its user has received all changes up to `revision`
   // from elsewhere; `latest` is the revision of the last of them.
   void SkipTo(StoreRevision revision, StoreRevision latest);
-  // Both hold from the next call on; see `Options`.
+  // Change `Options::wait_timeout`, and `retry_after` and `longest_retry`. The
+  // running call keeps its timeout.
   void SetWaitTimeout(Duration timeout) { options_.wait_timeout = timeout; }
   void SetRetry(Duration first, Duration longest);
 
-  // A wait is running, so the store would report a change at once.
+  // Whether a wait is running; if so, the store reports a change at once.
   bool IsWaiting() const { return has_read_ && call_; }
-  // All changes up to this one have been reported or skipped; 0 before the
+  // All changes up to this revision have been reported or skipped; 0 before the
   // first read.
   StoreRevision revision() const { return revision_; }
-  // Revision of the latest change that was reported.
+  // Revision of the latest change that was reported or skipped.
   StoreRevision latest_change() const { return latest_change_; }
-  // Whether a change of that revision is part of what the handlers received. A
-  // removal before the first read shows as a missing item.
+  // Whether the change of `revision` has been reported or skipped. If an item
+  // was removed before the first read, this is reported only as a missing item.
   bool HasRead(StoreRevision revision) const {
     return revision <= std::max(revision_, latest_change_);
   }
@@ -122,7 +131,8 @@
   void OnSnapshot(const StoreSnapshot& snapshot);
   void IgnoreOlder(StoreRevision revision);
   void OnChanges(const StoreChanges& changes);
-  // After `delay`, waits, or reads if all items have to be read.
+  // Once `delay` has passed, starts a wait, or a read if all items have to be
+  // read.
   void CallLater(Duration delay);
   void RetryLater();
   void SetReachable(bool reachable);
@@ -137,14 +147,14 @@
   // `revision_` at the start of the current read.
   StoreRevision read_start_revision_;
   StoreRevision latest_change_;
-  // All items were read, so the follower can wait for changes.
+  // Whether all items were read, so that the follower can wait for changes.
   bool has_read_ = false;
   bool reachable_ = true;
   bool logged_older_ = false;
-  // The last call that ended has failed.
+  // Whether the last call that ended has failed.
   bool has_failed_ = false;
   bool paused_ = false;
-  // The delay after the next failure.
+  // Average delay after the next failed call.
   Duration retry_after_;
   std::minstd_rand random_{std::random_device{}()};
   KvStore::CallPtr call_;
--- a/kv/store.h
+++ b/kv/store.h
@@ -6,10 +6,11 @@
 //                             [](const StoreChanges& it) {...});
 //   auto writing = store.Write(write, [](const StoreWritten& it) {...});
 //
-// Each call reports once, on the loop. The caller keeps the returned `Call`;
-// destroying it cancels the call, and nothing is reported.
+// Each call reports its result once, in a callback of the loop. The caller
+// keeps the returned `Call`; destroying it cancels the call, and nothing is
+// reported.
 //
-// Every call ends in one of four ways. Because of the last one, callers that
+// Every call ends in one of four ways. Because of `kUnknown`, callers that
 // write give conditions, and read before they write again:
 //
 //   kDone      answered;
@@ -19,13 +20,13 @@
 //
 // Eras. A store that fails may be restored from an older copy: changes that it
 // had acknowledged are lost, and their revisions are assigned again. Its
-// answers name its era, a number that rises with each restore; `era` is the
-// latest that any answer has named.
+// answers name its era, a number that rises with each restore; `era` returns
+// the latest era that any answer has named.
 //
 // Each change of the store has a revision (base/store_revision.h). The result
 // in an answer of an earlier era than the latest is not used: a read ends as
 // refused, and a write as unknown, because it may be lost. Conditions name
-// revisions of one era; a write that reaches the store in a later one ends as
+// revisions of one era; a write that reaches the store in a later era ends as
 // rejected or unknown, because the same number may name other content there.
 // Keys are text and values any bytes. Times are `Duration`s; the implementation
 // sets how long a call waits for an answer.
@@ -62,18 +63,20 @@
 struct StoreItem {
   std::string key;
   std::string value;
-  // Revision of its last change; number 0 for a key that doesn't exist.
+  // Revision of the item's last change; its number is 0 if the key doesn't
+  // exist.
   StoreRevision revision;
 };
 
 // Requires that a key has not changed since a revision.
 struct StoreCondition {
   std::string key;
-  // Revision of its last change; number 0: the key must not exist.
+  // Revision of the key's last change. Number 0 requires that the key doesn't
+  // exist.
   StoreRevision revision;
 };
 
-// An atomic write: all of it is done if every condition holds, else none.
+// An atomic write: if every condition holds, all of it is done, else nothing.
 struct StoreWrite {
   std::vector<StoreCondition> conditions;
   // Revisions of these items are ignored.
@@ -84,14 +87,16 @@
 // How a write ended.
 struct StoreWritten {
   StoreEnd end = StoreEnd::kUnknown;
-  // Revision of the write, after kDone.
+  // Revision of the write; set if `end` is kDone.
   StoreRevision revision;
-  // After kRejected, the present items of the conditions' keys.
+  // The present items of the conditions' keys, if `end` is kRejected; empty if
+  // the write was rejected without being sent.
   std::vector<StoreItem> present;
 };
 
-// All items below a prefix. They are read page by page, so they may include
-// changes after `revision`; waiting from `revision` reports those again.
+// All items below a prefix. The items are read page by page, so they may
+// include changes after `revision`; waiting from `revision` reports those
+// again.
 struct StoreSnapshot {
   StoreEnd end = StoreEnd::kUnknown;
   StoreRevision revision;
@@ -99,26 +104,28 @@
 };
 
 struct StoreChange {
-  // Has no value if the item was removed.
+  // The value is empty if the item was removed.
   StoreItem item;
   bool removed = false;
 };
 
-// What changed below a prefix after a revision.
+// The answer to a wait: what changed below its prefix after its revision.
 struct StoreChanges {
   StoreEnd end = StoreEnd::kUnknown;
-  // The store no longer has all changes since the given revision: read again.
+  // Whether the store no longer has all changes since the wait's revision. The
+  // caller then reads all items again.
   bool forgotten = false;
-  // Where the next wait starts. If its era is not that of the given revision,
-  // `changes` may be incomplete: read again.
+  // Revision from which the next wait starts. If its era isn't that of the
+  // answered wait's revision, `changes` may be incomplete, and the caller reads
+  // all items again.
   StoreRevision revision;
   std::vector<StoreChange> changes;
 };
 
 class KvStore {
  public:
-  // A running call; destroying it cancels it without a report. The handler of
-  // its report may destroy or replace the call.
+  // A running call. Destroying the object cancels the call without a report.
+  // The handler of the report may destroy or replace the object.
   class Call {
    public:
     virtual ~Call() = default;
@@ -133,23 +140,25 @@
   virtual CallPtr Write(const StoreWrite& write,
                         std::function<void(const StoreWritten&)> done) = 0;
   // Reports as soon as something below `prefix` changed after `revision`, or
-  // without changes after `timeout`.
+  // reports no changes once `timeout` has passed.
   virtual CallPtr Wait(const std::string& prefix, StoreRevision revision,
                        Duration timeout,
                        std::function<void(const StoreChanges&)> done) = 0;
-  // Calls made so far.
+  // Number of calls made so far.
   virtual std::uint64_t calls() const = 0;
 
-  // 0 before the first answer, and for a store that names no era.
+  // The latest era that an answer has named; 0 before the first answer, and for
+  // a store that names no era.
   std::int64_t era() const { return era_; }
-  // Sets the handler for a change to a later era. It is called while an answer
-  // is being reported, and must not destroy calls.
+  // Sets the handler for a change to a later era. The handler is called while
+  // an answer is being reported, and must not destroy calls.
   void OnNewEra(std::function<void()> handler) {
     on_new_era_ = std::move(handler);
   }
 
  protected:
-  // Called by the implementation with the era that an answer names.
+  // Updates `era`. The implementation calls this with the era that each answer
+  // names.
   void NoteEra(std::int64_t era) {
     if (era <= era_) return;
     const std::int64_t before = std::exchange(era_, era);
--- a/net/address.h
+++ b/net/address.h
@@ -27,12 +27,13 @@
 namespace quaytrack {
 
 struct Address {
-  // As given, unchecked.
+  // The host as given; it isn't checked.
   std::string host;
   std::uint16_t port = 0;
 };
 
-// Empty if `text` lacks a host, a colon, or a port from 0 to 65535.
+// Returns std::nullopt if `text` lacks a host, a colon, or a port from 0 to
+// 65535.
 inline std::optional<Address> ParseAddress(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos || colon == 0) return std::nullopt;
@@ -45,7 +46,7 @@
   return out;
 }
 
-// Converts to the kernel's form.
+// Converts an address to the kernel's form.
 inline sockaddr_in ToSocketAddress(const Address& it) {
   sockaddr_in out{};
   out.sin_family = AF_INET;
--- a/net/http_message.h
+++ b/net/http_message.h
@@ -31,11 +31,11 @@
 
 // The start line and the headers of a request or of a response.
 struct HttpHead {
-  // For a request. `target` is the request target (RFC 9112, 3.2): the path and
-  // the query.
+  // Set for a request. `target` is the request target (RFC 9112, 3.2): the path
+  // and the query.
   std::string method;
   std::string target;
-  // For a response. If `reason` is empty, `ReasonOf(status)` is sent.
+  // Set for a response. If `reason` is empty, `ReasonOf(status)` is sent.
   int status = 0;
   std::string reason;
 
@@ -47,12 +47,13 @@
   bool chunked = false;
   std::optional<std::uint64_t> content_length;
 
-  // The value of the first header with this name; null if there is none.
+  // Returns the value of the first header with this name, or null if there is
+  // none.
   const std::string* Find(std::string_view name) const;
   // The number of headers with this name.
   int Count(std::string_view name) const;
 
-  // The target without its query.
+  // The request target without its query.
   std::string_view Path() const;
 };
 
--- a/net/loop.cc
+++ b/net/loop.cc
@@ -44,7 +44,7 @@
 Timer::~Timer() { event_free(event_); }
 
 void Timer::OnFire(int, short, void* self) {
-  // Calls a copy, as the action may destroy this timer.
+  // Calls a copy of the action, as the action may destroy this timer.
   auto action = static_cast<Timer*>(self)->action_;
   action();
 }
--- a/net/loop.h
+++ b/net/loop.h
@@ -16,8 +16,8 @@
 //   loop.Post([keep = shared_from_this()] {});
 //
 // The loop owns the libevent base, and must outlive all timers and sockets on
-// it. It also makes the process ignore SIGPIPE, so that writing to a connection
-// that the peer has closed doesn't end the process.
+// it. The loop also makes the process ignore SIGPIPE, so that writing to a
+// connection that the peer has closed doesn't end the process.
 //
 // Delays are rounded down to microseconds.
 
@@ -36,8 +36,8 @@
 
 namespace quaytrack {
 
-// A repeating or one-shot timer; it stops when it is destroyed. Its action may
-// destroy it.
+// A repeating or one-shot timer; it stops when the object is destroyed. The
+// timer's action may destroy the timer.
 class Timer {
  public:
   ~Timer();
@@ -61,7 +61,7 @@
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
-  // For code that calls libevent directly.
+  // The libevent base, for code that calls libevent directly.
   event_base* base() const { return base_; }
   // Bytes that the sockets of this loop have carried (net/traffic.h).
   Traffic& traffic() { return traffic_; }
--- a/net/peer_link.cc
+++ b/net/peer_link.cc
@@ -29,7 +29,8 @@
 // messages are configurations.
 constexpr std::size_t kMaxMessageBytes = 4 * 1024 * 1024;
 
-// One link over one bufferevent, for either end of the connection.
+// One link over one bufferevent. `Endpoint` is websocketpp's client or server,
+// for either end of the connection.
 template <class Endpoint>
 class WebsocketLink final
     : public PeerLink,
--- a/net/peer_link.h
+++ b/net/peer_link.h
@@ -44,21 +44,22 @@
 class PeerLink {
  public:
   struct Handlers {
-    // Messages may be sent from now on.
+    // Called when the link has opened: messages may be sent from now on.
     std::function<void()> open;
     std::function<void(const std::string& message)> message;
-    // Called once, whichever side or error ended the link, which can't be used
-    // afterwards. Not called for a link that is destroyed.
+    // Called once when the link has ended, whichever side or error ended it.
+    // The link can't be used afterwards. Not called for a link that is
+    // destroyed.
     std::function<void()> closed;
   };
 
   virtual ~PeerLink() = default;
   virtual void SetHandlers(Handlers handlers) = 0;
-  // Does nothing on a link that has closed.
+  // Sends a message. Does nothing on a link that has closed.
   virtual void Send(const std::string& message) = 0;
 
-  // Opens a link to "host:port". Null if `address` isn't valid; for a peer that
-  // can't be reached, `closed` is called.
+  // Opens a link to "host:port". Returns null if `address` isn't valid; for a
+  // peer that can't be reached, `closed` is called.
   static std::shared_ptr<PeerLink> Connect(Loop& loop,
                                            const std::string& address,
                                            Handlers handlers);
--- a/net/process_settings.h
+++ b/net/process_settings.h
@@ -46,7 +46,7 @@
 struct LogFlags {
   std::string log_format = "text";
   std::string log_level = "info";
-  // Check the settings and exit.
+  // Whether to check the settings and exit.
   bool check_only = false;
 };
 
@@ -55,7 +55,7 @@
   LogLevel log_level = LogLevel::kInfo;
 };
 
-// The environment variable of a flag: "--drain-s" is QUAYTRACK_DRAIN_S.
+// Returns the environment variable of a flag: "--drain-s" is QUAYTRACK_DRAIN_S.
 std::string EnvironmentName(const std::string& flag);
 
 // Adds a setting whose default is shown in the help.
@@ -67,8 +67,8 @@
       ->capture_default_str();
 }
 
-// The same for a list: the flag is repeated, or its values are separated by
-// commas.
+// Adds a setting that is a list: its flag is repeated, or its values are
+// separated by commas.
 inline void AddSetting(CLI::App& app, const std::string& flag,
                        std::vector<std::string>& values,
                        const std::string& help) {
--- a/net/setting_check.h
+++ b/net/setting_check.h
@@ -9,8 +9,8 @@
 //
 // Each fault has the flag, its value and what is allowed. The relay and the
 // router check their settings with it before they start anything
-// (relay/relay_settings.cc, router/settings.cc). It changes no settings and
-// prints nothing.
+// (relay/relay_settings.cc, router/settings.cc). A SettingChecker changes no
+// settings and prints nothing.
 
 #ifndef QUAYTRACK_NET_SETTING_CHECK_H_
 #define QUAYTRACK_NET_SETTING_CHECK_H_
@@ -37,9 +37,9 @@
 
 class SettingChecker {
  public:
-  // Checks the name of a VM or a hall. It becomes a part of incarnations and
-  // keys, so their separators are refused. The length is limited to catch
-  // mistakes.
+  // Checks the name of a VM or a hall. The name becomes a part of incarnations
+  // and keys, so the separators used there are refused. The length is limited
+  // to catch mistakes.
   void Name(const std::string& flag, const std::string& value) {
     const bool ok = !value.empty() && value.size() <= 64 &&
                     value.find_first_of("@/ \t=") == std::string::npos;
@@ -53,7 +53,7 @@
     if (!ParseAddress(value)) Add(flag, value, "IP:PORT");
   }
 
-  // `low` and `high` are allowed, too.
+  // Checks that `value` is from `low` to `high`, both inclusive.
   template <class Number>
   void Range(const std::string& flag, Number value, Number low, Number high) {
     if (value >= low && value <= high) return;
@@ -61,8 +61,8 @@
         std::to_string(low) + " to " + std::to_string(high));
   }
 
-  // The value named `text`; if there is none, adds a fault and returns the
-  // first value.
+  // Returns the value named `text`. If there is none, adds a fault and returns
+  // the first value of the enum.
   template <NamedEnum E>
   E Choice(const std::string& flag, const std::string& text) {
     if (const auto it = FromName<E>(text)) return *it;
--- a/net/tcp_socket.cc
+++ b/net/tcp_socket.cc
@@ -146,8 +146,9 @@
   if (on_.drained) on_.drained();
 }
 
-// Returns 0 if the kernel accepts no byte; `errno` then has the reason. `Write`
-// leaves errors to `OnWritable`, so that it never calls back its caller.
+// Sends bytes and returns how many the kernel has accepted. Returns 0 if the
+// kernel accepts no byte; `errno` then has the reason. `Write` leaves errors to
+// `OnWritable`, so that `Write` never calls back its caller.
 std::size_t TcpSocket::SendNow(std::string_view bytes) {
   const ssize_t n = send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   if (n < 0) return 0;
--- a/net/tcp_socket.h
+++ b/net/tcp_socket.h
@@ -10,7 +10,7 @@
 //   });
 //   listener.Listen("10.0.0.7:8080");
 //
-// The relay's connections to callers, targets and the store use it
+// The relay's connections to callers, targets and the store use this class
 // (http/caller_connection.h, http/target_connection.h).
 //
 // `Write` passes bytes to the kernel at once if none wait before them, so a
@@ -50,8 +50,8 @@
 };
 
 struct TcpOptions {
-  // The connection ends when sent bytes stay unacknowledged, or opening takes,
-  // for this long. Connections to callers and to targets set other values.
+  // The connection ends if sent bytes stay unacknowledged, or opening takes,
+  // longer than this. Connections to callers and to targets set other values.
   Duration user_timeout = std::chrono::milliseconds(2000);
 };
 
@@ -60,13 +60,13 @@
   // Handlers may close or release the socket. `bytes` are valid only during the
   // call.
   struct Handlers {
-    // Called only after `Connect`.
+    // Called when a connection made by `Connect` is open.
     std::function<void()> connected;
     std::function<void(std::string_view bytes)> data;
-    // Called at most once, and never after `Close`. The socket is then already
-    // closed.
+    // Called when the connection has ended, at most once and never after
+    // `Close`. The socket is then already closed.
     std::function<void(SocketEnd end)> ended;
-    // The kernel has accepted all buffered bytes.
+    // Called when the kernel has accepted all buffered bytes.
     std::function<void()> drained;
   };
 
@@ -74,8 +74,9 @@
   TcpSocket(const TcpSocket&) = delete;
   TcpSocket& operator=(const TcpSocket&) = delete;
 
-  // Null if `address` isn't valid, no descriptor is left, or the kernel refuses
-  // at once. Bytes written before the connection is open are buffered.
+  // Starts to open a connection. Returns null if `address` isn't valid, no
+  // descriptor is left, or the kernel refuses at once. Bytes written before the
+  // connection is open are buffered.
   static std::shared_ptr<TcpSocket> Connect(Loop& loop,
                                             const std::string& address,
                                             const TcpOptions& options,
@@ -94,18 +95,18 @@
   void Close(bool reset = false);
   // Signals to the peer that no more bytes will be sent.
   void ShutdownWrite();
-  // False once the connection has ended or was closed.
+  // Returns false once the connection has ended or was closed.
   bool open() const { return fd_ >= 0; }
-  // False while `Connect` is under way.
+  // Returns false until a connection made by `Connect` is open.
   bool connected() const { return connected_; }
 
   // Whether the peer has closed its sending side or the connection is broken,
   // even if bytes from before that are still unread. Makes a system call.
   bool PeerHasClosed() const;
 
-  // Bytes written that the kernel has not accepted.
+  // Number of written bytes that the kernel has not accepted.
   std::size_t Unsent() const { return buffer_.size() - buffer_sent_; }
-  // Bytes that the kernel has accepted since the connection was made.
+  // Number of bytes that the kernel has accepted since the connection was made.
   std::uint64_t bytes_accepted() const { return bytes_accepted_; }
 
  private:
@@ -128,11 +129,11 @@
   std::uint64_t bytes_accepted_ = 0;
 };
 
-// Accepts connections at "host:port". Destroying it stops listening; accepted
-// connections stay open.
+// Accepts connections at "host:port". Destroying the listener stops listening;
+// accepted connections stay open.
 class TcpListener {
  public:
-  // The callee owns `fd`.
+  // Gets an accepted connection, and becomes the owner of `fd`.
   using Accepted = std::function<void(int fd)>;
 
   TcpListener(Loop& loop, Accepted accepted)
@@ -141,8 +142,8 @@
   TcpListener(const TcpListener&) = delete;
   TcpListener& operator=(const TcpListener&) = delete;
 
-  // Returns the bound port, or 0 if the address can't be bound. Port 0 binds a
-  // free one.
+  // Starts to listen. Returns the bound port, or 0 if the address can't be
+  // bound. Port 0 binds a free one.
   std::uint16_t Listen(const std::string& address);
   void Stop();
 
--- a/net/traffic.h
+++ b/net/traffic.h
@@ -15,9 +15,9 @@
 
 namespace quaytrack {
 
-// Totals since the start; bytes are payload, without TCP/IP headers. A piece is
-// what one system call passed to or got from the kernel; it corresponds to at
-// least one packet, and to the packet that acknowledges it.
+// Totals since the loop was created; bytes are payload, without TCP/IP headers.
+// A piece is what one system call passed to or got from the kernel; it
+// corresponds to at least one packet, and to the packet that acknowledges it.
 struct Traffic {
   std::uint64_t bytes_in = 0;
   std::uint64_t bytes_out = 0;
