--- a/bundle/bundle.h
+++ b/bundle/bundle.h
@@ -110,14 +110,15 @@
   std::uint64_t version = 0;
   std::vector<BudgetSetting> budgets;
   std::map<CustomerName, CustomerSetting> customers;
-  // By SHA-256 of the bearer key.
+  // Customers by the SHA-256 of their bearer keys.
   std::map<std::string, CustomerName> customer_by_key;
   std::map<ModelName, ModelSetting> models;
   std::map<ServiceName, ServiceSetting> services;
   std::vector<TargetSetting> targets;
 
   // Whether this call may be repeated. The service's first matching call line
-  // decides; a call without one may be repeated, one of an unknown service not.
+  // decides. A call without a matching line may be repeated; a call of an
+  // unknown service may not.
   Repeat RepeatOf(const ServiceName& service, std::string_view method,
                   std::string_view path) const;
 };
@@ -139,8 +140,8 @@
 // Parses a bundle text; the error is a BundleProblems.
 boost::leaf::result<Bundle> ReadBundle(std::string_view text);
 
-// The lines that differ: those only in `before` with "- " in front, those only
-// in `after` with "+ ".
+// Returns the lines that differ: lines only in `before` with "- " in front,
+// lines only in `after` with "+ " in front.
 std::vector<std::string> DiffBundles(std::string_view before,
                                      std::string_view after);
 
--- a/bundle/keeper.h
+++ b/bundle/keeper.h
@@ -1,10 +1,10 @@
 // BundleKeeper decides which bundle is active at this router.
 //
 // A bundle is accepted if its version is higher than the active one's, two
-// operators signed it, and its text parses without a problem. Its source
-// doesn't matter: the key-value service, a replayed watch event, a restored
-// snapshot, or a peer. So an old version can never become active again; to roll
-// back, operators sign the old text under a higher version.
+// operators signed it, and its text parses without a problem. The bundle's
+// source doesn't matter: the key-value service, a replayed watch event, a
+// restored snapshot, or a peer. So an old version can never become active
+// again; to roll back, operators sign the old text under a higher version.
 //
 //   BundleKeeper keeper(keys);
 //   if (keeper.IsNewer(head)) keeper.Offer(head, FetchText(head));
@@ -33,8 +33,8 @@
   std::string digest;
   std::vector<std::string> chunks;
   std::vector<BundleSignature> signatures;
-  // The operator who applied it; shown to an operator whose concurrent change
-  // is refused.
+  // The operator who applied the bundle; shown to an operator whose concurrent
+  // change is refused.
   std::string applied_by;
 };
 
@@ -75,11 +75,12 @@
     return head.version > version();
   }
 
-  // Makes the bundle active if it is acceptable.
+  // Makes the bundle active if it is acceptable; returns the decision.
   BundleVerdict Offer(const BundleHead& head, std::string_view text);
 
   std::uint64_t version() const { return bundle_ ? bundle_->version : 0; }
-  // nullptr before the first bundle. Requests keep the one they started with.
+  // The active bundle; nullptr before the first one. Requests keep the bundle
+  // they started with.
   std::shared_ptr<const Bundle> bundle() const { return bundle_; }
 
  private:
--- a/bundle/line.cc
+++ b/bundle/line.cc
@@ -13,7 +13,7 @@
   std::int64_t millis;
 };
 
-// Longer suffixes first, as "ms" ends in "s".
+// Longer suffixes come first, as "ms" ends in "s".
 constexpr SpanUnit kSpanUnits[] = {
     {"ms", 1}, {"s", 1000}, {"m", 60 * 1000}, {"h", 3600 * 1000}};
 
--- a/bundle/signing.h
+++ b/bundle/signing.h
@@ -1,5 +1,5 @@
-// Signs bundles and verifies their signatures: Ed25519, two different
-// operators.
+// Signs bundles with Ed25519, and verifies that two different operators signed
+// them.
 //
 // A signature covers the version and the digest of the text, so a signed text
 // can't be presented under another version. The operators' public keys are in
@@ -41,8 +41,8 @@
                                       std::uint64_t version,
                                       std::string_view text);
 
-// The number of different operators in `keys` with a valid signature of this
-// version and text.
+// Returns the number of different operators in `keys` with a valid signature of
+// this version and text.
 std::size_t CountValidSignatures(
     const OperatorKeys& keys, std::uint64_t version, std::string_view text,
     const std::vector<BundleSignature>& signatures);
--- a/claim/claim.cc
+++ b/claim/claim.cc
@@ -146,7 +146,8 @@
       return NotifyJoined(local);
     case ClaimAction::kDelete:
       Enqueue(now, {ClaimWriteKind::kDelete, key, local.entry, local.revision});
-      // The requests that joined may try again.
+      // The requests that joined are notified now, so that their callers may
+      // retry.
       return NotifyJoined(local);
   }
 }
--- a/claim/claim.h
+++ b/claim/claim.h
@@ -55,9 +55,9 @@
 
 // The stored state of a claimed call.
 enum class ClaimState {
-  kClaimed,  // may be running, or its router may have died
-  kDone,     // ran; the answer is stored
-  kUnknown,  // was sent and the answer was lost; is never sent again
+  kClaimed,  // the call may be running, or its router may have died
+  kDone,     // the call ran; the answer is stored
+  kUnknown,  // the call was sent, its answer was lost; never send it again
 };
 
 template <>
@@ -73,7 +73,7 @@
   int status = 0;
   std::string content_type;
   std::string body;
-  // The body was larger than the limit and is not stored.
+  // Whether the body was larger than the limit; it is then not stored.
   bool too_large = false;
 
   bool operator==(const StoredAnswer&) const = default;
@@ -82,8 +82,8 @@
 struct ClaimEntry {
   ClaimState state{};
   Incarnation owner;
-  // Revision at which the owner registered; distinguishes it from its successor
-  // on the same VM.
+  // Revision at which the owner registered; distinguishes the owner from its
+  // successor on the same VM.
   std::int64_t owner_registered = 0;
   RequestId request;
   // Digest of method, path and body: using the same key for another call is the
@@ -100,12 +100,12 @@
 std::optional<ClaimEntry> DecodeClaim(std::string_view text);
 
 enum class ClaimAnswerKind {
-  kWait,      // being written; an event follows
-  kJoin,      // running on this router under another request; an event follows
-  kReplay,    // done before: return `entry.answer`
-  kUnknown,   // may have run: never send it again
-  kMismatch,  // the key was used for another call
-  kOtherRouter,  // claimed by another router: retry later
+  kWait,         // the claim is being written; an event follows
+  kJoin,         // another request here runs the call; an event follows
+  kReplay,       // the call was done before: return `entry.answer`
+  kUnknown,      // the call may have run: never send it again
+  kMismatch,     // the key was used for another call
+  kOtherRouter,  // another router has the claim: retry later
 };
 
 struct ClaimAnswer {
@@ -113,19 +113,19 @@
   ClaimEntry entry;
 };
 
-// One write of a group.
+// How a write changes its key: creates, replaces or deletes it.
 enum class ClaimWriteKind { kCreate, kReplace, kDelete };
 
 struct ClaimWrite {
   ClaimWriteKind kind{};
   ClaimKey key;
   ClaimEntry entry;
-  // For kReplace and kDelete: the revision that must still be current.
+  // Revision that the key must still have, for kReplace and kDelete.
   std::int64_t revision = 0;
 };
 
-// One transaction: it applies all writes, or none and returns the present
-// values.
+// One transaction: it applies all writes, or applies none and returns the
+// present values of their keys.
 struct ClaimCommit {
   std::vector<ClaimWrite> writes;
 };
@@ -159,7 +159,8 @@
   // Maximum number of claims in one transaction; well under the 128 operations
   // of a kind that the service allows.
   std::size_t max_group = 40;
-  // Maximum number of resolved claims in memory; they save most retries a read.
+  // Maximum number of resolved claims in memory; a claim in memory saves a
+  // retry the read.
   std::size_t max_resolved = 10000;
 };
 
@@ -176,17 +177,19 @@
   ClaimAnswer Begin(Instant now, const ClaimKey& key, const std::string& digest,
                     const RequestId& request, std::int64_t wall_ms);
 
-  // `request` ended and nothing of its call ran: its caller gave up before the
-  // claim was written, or the target refused the call. The claim is deleted
-  // once its creation is resolved.
+  // Call when `request` has ended and nothing of its call ran: its caller gave
+  // up before the claim was written, or the target refused the call. The claim
+  // is deleted once its creation is resolved.
   void Abandon(Instant now, const ClaimKey& key, const RequestId& request);
 
-  // The owner's call was sent: it ran with `answer`, or it may have run.
+  // Call one of these when the owner's call was sent: MarkDone if the call ran
+  // with `answer`, MarkUnknown if the call may have run.
   void MarkDone(Instant now, const ClaimKey& key, StoredAnswer answer);
   void MarkUnknown(Instant now, const ClaimKey& key);
 
   std::optional<ClaimCommit> Next(Instant now);
-  // With kRejected, `found` has one element for each write, in order.
+  // If `outcome` is kRejected, `found` has one element for each write, in
+  // order.
   void OnCommit(Instant now, ClaimOutcome outcome, std::int64_t revision,
                 const std::vector<FoundClaim>& found);
 
--- a/claim/claim_chart.h
+++ b/claim/claim_chart.h
@@ -17,13 +17,13 @@
 
 // States of the chart.
 enum class ClaimPhase {
-  kWriting,      // its creation is not resolved
-  kAbandoned,    // the same, and the request has ended
-  kOwned,        // stored: the call may be sent
+  kWriting,      // the claim's creation is not resolved
+  kAbandoned,    // the request has ended before the creation is resolved
+  kOwned,        // the claim is stored: the call may be sent
   kStoring,      // the call's end is being written
-  kWithdrawing,  // its deletion is being written
+  kWithdrawing,  // the claim's deletion is being written
   kStored,       // the call's end is stored
-  kGone,         // deleted, or claimed by another request
+  kGone,         // the claim is deleted, or another request has it
 };
 
 // Events of the chart.
--- a/etcd/etcd_client.cc
+++ b/etcd/etcd_client.cc
@@ -38,8 +38,8 @@
   std::string partial;
   bool stopped = false;
 
-  // Handles and removes the complete lines in `partial`; false if the watch has
-  // ended.
+  // Handles and removes the complete lines in `partial`; returns false if the
+  // watch has ended.
   bool HandleLines() {
     std::size_t end = 0;
     while (!stopped && (end = partial.find('\n')) != std::string::npos) {
--- a/etcd/etcd_client.h
+++ b/etcd/etcd_client.h
@@ -1,7 +1,7 @@
 // A client of the platform's key-value service, by the etcd v3 JSON gateway.
 //
 // Every call ends in one of three ways. Callers must handle kUnknown, as the
-// call may take effect even after it has been reported:
+// call may take effect even after its end has been reported:
 //
 //   kOk       answered;
 //   kRefused  answered with an error, or certainly not sent: had no effect;
@@ -12,8 +12,8 @@
 //   txn.puts.push_back({"k", "v", 0});
 //   kv.Txn(txn, [](const EtcdTxnReply& it) {...});
 //
-// It uses one endpoint at a time, and moves to the next when a call gets no
-// answer.
+// EtcdClient uses one endpoint at a time, and moves to the next when a call
+// gets no answer.
 
 #ifndef QUAYTRACK_ETCD_ETCD_CLIENT_H_
 #define QUAYTRACK_ETCD_ETCD_CLIENT_H_
@@ -65,11 +65,11 @@
 
 struct EtcdTxn {
   std::vector<EtcdCompare> compares;
-  // Executed if all comparisons hold.
+  // `puts`, `deletes` and `gets` are executed if all comparisons hold.
   std::vector<EtcdPut> puts;
   std::vector<std::string> deletes;
   std::vector<EtcdGet> gets;
-  // Executed otherwise.
+  // `else_gets` are executed if a comparison doesn't hold.
   std::vector<EtcdGet> else_gets;
 };
 
@@ -116,7 +116,8 @@
     std::function<void(std::int64_t revision,
                        const std::vector<EtcdWatchEvent>& events)>
         events;
-    // The watch broke. Its owner must read the keys again and start a new one.
+    // Called when the watch broke. Its owner must read the keys again and start
+    // a new watch.
     std::function<void()> broken;
   };
 
--- a/etcd/etcd_json.cc
+++ b/etcd/etcd_json.cc
@@ -9,7 +9,7 @@
 
 using Json = nlohmann::json;
 
-// The gateway writes 64-bit numbers as strings, and omits zeros.
+// Reads a 64-bit number. The gateway writes these as strings, and omits zeros.
 std::int64_t Int64(const Json& json, const char* field) {
   if (!json.contains(field)) return 0;
   const Json& it = json.at(field);
@@ -44,7 +44,8 @@
   return Json{{"request_put", put}};
 }
 
-// Runs `read` on the parsed text; empty if the text is malformed.
+// Returns what `read` returns for the parsed text, or std::nullopt if the text
+// is malformed.
 template <class Read>
 auto Parsed(std::string_view text, Read read)
     -> std::optional<decltype(read(Json()))> {
--- a/etcd/etcd_json.h
+++ b/etcd/etcd_json.h
@@ -1,6 +1,6 @@
 // Encodes and decodes the JSON of the etcd v3 gateway for EtcdClient. Keys and
 // values are base64, 64-bit numbers are strings, and zeros are omitted. Pure
-// functions; decoding an invalid reply gives an empty result.
+// functions; decoding an invalid reply returns std::nullopt.
 
 #ifndef QUAYTRACK_ETCD_ETCD_JSON_H_
 #define QUAYTRACK_ETCD_ETCD_JSON_H_
@@ -16,7 +16,8 @@
 namespace quaytrack {
 
 std::string TxnToJson(const EtcdTxn& txn);
-// Sets all fields but `end`; empty if `text` isn't a valid reply.
+// Returns the reply with all fields but `end` set, or std::nullopt if `text`
+// isn't a valid reply.
 std::optional<EtcdTxnReply> TxnReplyFromJson(std::string_view text);
 std::optional<EtcdLeaseReply> LeaseReplyFromJson(std::string_view text);
 std::string WatchToJson(const std::string& prefix, std::int64_t after_revision);
@@ -28,7 +29,7 @@
 };
 std::optional<EtcdWatchReply> WatchReplyFromJson(std::string_view line);
 
-// The first key after all keys that start with `prefix`.
+// Returns the first key after all keys that start with `prefix`.
 std::string PrefixEnd(std::string prefix);
 
 }  // namespace quaytrack
--- a/etcd/keys.h
+++ b/etcd/keys.h
@@ -2,8 +2,9 @@
 //
 //   const std::string key = keys::Ledger(7);   // "qt/ledger/7"
 //
-// Later versions read the values stored under them, so no name may change. All
-// start with "qt/", as the service may also have keys of other programs.
+// Later versions of quaytrack read the values stored under these keys, so no
+// name may change. All names start with "qt/", as the service may also have
+// keys of other programs.
 
 #ifndef QUAYTRACK_ETCD_KEYS_H_
 #define QUAYTRACK_ETCD_KEYS_H_
@@ -31,19 +32,21 @@
   return kLedgerPrefix + std::to_string(shard);
 }
 
-// Written to request that the routers read a ledger record immediately; the
-// value is the incarnation of the requesting router.
+// Prefix of the keys that a router writes to request that the routers read a
+// ledger record immediately; the value is the incarnation of the requesting
+// router.
 inline const std::string kNeedPrefix = "qt/need/";
 inline std::string Need(int shard) {
   return kNeedPrefix + std::to_string(shard);
 }
 
-// All batches of one router.
+// Prefix of the keys of all batches of one router.
 inline std::string JournalOf(const Incarnation& writer) {
   return kJournalPrefix + writer.value + "/";
 }
 
-// Zero-padded, so that the batches of a router sort by number.
+// Key of one batch. The number is zero-padded, so that the batches of a router
+// sort by number.
 inline std::string Journal(const Incarnation& writer, std::uint64_t seq) {
   char buf[24];
   std::snprintf(buf, sizeof buf, "%012llu",
@@ -51,13 +54,13 @@
   return JournalOf(writer) + buf;
 }
 
-// Marker that a request with a caller's key has been billed.
+// Key of the marker that a request with a caller's key has been billed.
 inline std::string Billed(const std::string& marker) {
   return "qt/billed/" + marker;
 }
 
-// Callers choose their keys, so these are hashed to limit the length of the
-// name.
+// Key of a claim. Callers choose their idempotency keys, so these are hashed to
+// limit the length of the name.
 inline std::string Claim(const ClaimKey& it) {
   return "qt/claim/" + it.customer.value + "/" + Sha256Hex(it.key.value);
 }
--- a/etcd/retention_lease.h
+++ b/etcd/retention_lease.h
@@ -3,8 +3,8 @@
 //
 // All records written within an hour share one lease, so that no record needs a
 // lease call of its own. A record lives between `retention` and `retention`
-// plus an hour. It relies on the loop, the service's client and the clock,
-// which must outlive it.
+// plus an hour. RetentionLease relies on the loop, the service's client and the
+// clock, which must outlive it.
 
 #ifndef QUAYTRACK_ETCD_RETENTION_LEASE_H_
 #define QUAYTRACK_ETCD_RETENTION_LEASE_H_
--- a/evhttp/http_client.cc
+++ b/evhttp/http_client.cc
@@ -86,7 +86,8 @@
     idle.push_back(std::move(connection));
     return;
   }
-  // Freed after the current callback, as evhttp still uses it.
+  // The connection is freed after the current callback, as evhttp still uses
+  // it.
   loop_.Post(
       [connection = std::move(connection)]() mutable { connection.reset(); });
 }
@@ -191,7 +192,8 @@
   const std::shared_ptr<HttpCall> keep = std::exchange(self_, nullptr);
   if (!keep) return;
   // This may run inside one of the handlers, and evhttp may call back until its
-  // connection is freed. So both live until the next iteration of the loop.
+  // connection is freed. So this call and the connection live until the next
+  // iteration of the loop.
   client_.loop_.Post([keep, connection = std::move(connection_)]() mutable {
     connection.reset();
     keep->handlers_ = {};
--- a/evhttp/http_client.h
+++ b/evhttp/http_client.h
@@ -5,9 +5,9 @@
 //   auto call = client.Start({"10.1.0.7:8000", "POST", "/x", {}, body}, on);
 //
 // A failure tells whether the request may have run. `HttpEnd::kNotSent` is
-// reported only if no byte of the request was handed to the kernel, so it
-// certainly did not run. In every other failure (kBroken or kTimedOut) it may
-// have run.
+// reported only if no byte of the request was handed to the kernel, so the
+// request certainly did not run. In every other failure (kBroken or kTimedOut)
+// the request may have run.
 
 #ifndef QUAYTRACK_EVHTTP_HTTP_CLIENT_H_
 #define QUAYTRACK_EVHTTP_HTTP_CLIENT_H_
@@ -36,7 +36,7 @@
   std::string body;
   // The call fails when no data is sent or received for this long.
   Duration idle_timeout = std::chrono::seconds(30);
-  // Opens a new connection. A reused one may be closed by the server at any
+  // Whether to open a new connection. The server may close a reused one at any
   // time, which can't be distinguished from a failure of this request.
   bool fresh_connection = false;
 };
@@ -47,7 +47,7 @@
   HttpEnd end = HttpEnd::kBroken;
   int status = 0;
   std::string content_type;
-  // Empty if a data handler received the body.
+  // The body; empty if a data handler received it.
   std::string body;
 
   bool ok() const { return end == HttpEnd::kComplete && status == 200; }
@@ -55,14 +55,14 @@
 
 class HttpClient;
 
-// One call. It keeps itself alive until its end is reported or it is cancelled;
-// callers need to hold it only for `Cancel` and flow control.
+// One call. An HttpCall keeps itself alive until its end is reported or it is
+// cancelled; callers need to hold it only for `Cancel` and flow control.
 class HttpCall {
  public:
   struct Handlers {
-    // The status line and headers have been received.
+    // Called when the status line and headers have been received.
     std::function<void(int status, const std::string& content_type)> head;
-    // A piece of the body; may be moved out of the buffer.
+    // Called with each piece of the body, which may be moved out of the buffer.
     std::function<void(evbuffer* data)> data;
     std::function<void(const HttpResult&)> end;
   };
@@ -73,7 +73,7 @@
 
   // Ends the call without calling the handlers, and closes its connection.
   void Cancel();
-  // Stop and restart reading, so that a slow consumer slows down the sender.
+  // Stops and restarts reading, so that a slow consumer slows down the sender.
   void PauseReading();
   void ResumeReading();
 
--- a/evhttp/http_server.cc
+++ b/evhttp/http_server.cc
@@ -62,7 +62,8 @@
   return bufferevent_getfd(evhttp_connection_get_bufferevent(connection));
 }
 
-// Otherwise a token could be delayed until the next one.
+// Makes the socket send each write at once; otherwise a token could be delayed
+// until the next one.
 void DisableNagle(evhttp_connection* connection) {
   const int on = 1;
   setsockopt(SocketOf(connection), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -112,8 +113,8 @@
 void HttpExchange::OnReplyEnding() {
   if (connection_ == nullptr) return;
   server_.TrackUntilSent(request_, connection_);
-  // evhttp respects this header even if the headers were sent before: it closes
-  // the connection at the end of the stream.
+  // evhttp respects the close header even if the headers were sent before: it
+  // closes the connection at the end of the stream.
   if (server_.closing_) AddCloseHeader();
 }
 
@@ -133,7 +134,8 @@
   it->output_watch_ = nullptr;
   if (it->close_event_ != nullptr) event_free(it->close_event_);
   it->close_event_ = nullptr;
-  // A request that still belongs to the connection is freed with it.
+  // A request that still belongs to the connection is freed with the
+  // connection.
   evhttp_request* request = it->request_;
   const bool freed =
       request != nullptr && evhttp_request_get_connection(request) != nullptr;
@@ -144,7 +146,8 @@
 void HttpExchange::ReportGone() {
   if (gone_) return;
   gone_ = true;
-  // Posted, as libevent is still closing the connection.
+  // The handler is called from a posted callback, as libevent is still closing
+  // the connection.
   loop_.Post([this, exists = exists_] {
     if (*exists && on_gone_) on_gone_();
   });
--- a/evhttp/http_server.h
+++ b/evhttp/http_server.h
@@ -29,9 +29,9 @@
 
 // A piece of a stream is written directly to the socket if nothing is buffered
 // before it. evhttp would buffer it, register the socket for writing and write
-// in the next iteration of the loop. For each token that costs two changes of
-// the epoll set and an iteration, which was a quarter of a streamed token's
-// cost (docs/design/token-path.md).
+// in the next iteration of the loop. For each token, buffering costs two
+// changes of the epoll set and an iteration, which was a quarter of a streamed
+// token's cost (docs/design/token-path.md).
 
 struct evbuffer;
 struct evbuffer_cb_entry;
@@ -106,7 +106,7 @@
   void ReportGone();
 
   Loop& loop_;
-  // Outlives the connection.
+  // The server outlives the connection.
   HttpServer& server_;
   evhttp_request* request_;
   evhttp_connection* connection_;
@@ -138,10 +138,11 @@
 
   void Serve(Handler handler) { handler_ = std::move(handler); }
 
-  // Binds "host:port"; port 0 picks a free one. Returns the bound port, or 0.
+  // Binds "host:port"; port 0 picks a free one. Returns the bound port, or 0 if
+  // binding fails.
   std::uint16_t Listen(const std::string& address);
 
-  // From now on every reply is the last one on its connection.
+  // Makes every further reply the last one on its connection.
   void StartClosing() { closing_ = true; }
   // Accepts no further connections; open ones continue.
   void StopListening();
--- a/ledger/account.h
+++ b/ledger/account.h
@@ -38,25 +38,27 @@
   Tokens HeldTotal() const { return held_total_; }
   double Rate(Instant now) const { return rate_.PerSecond(now); }
 
-  // Places a hold if it fits.
+  // Places a hold if it fits into `Available`; returns whether it does.
   bool TryHold(const RequestId& request, Tokens amount);
 
-  // Replaces a hold by its cost; returns the cost, capped at the hold, or 0
-  // without a hold.
+  // Replaces the request's hold by its cost. Returns the cost, capped at the
+  // hold, or 0 if the request has no hold.
   Tokens Settle(Instant now, const RequestId& request, Tokens cost);
 
   void Release(const RequestId& request);
 
-  // The record now grants `granted` and includes `written` of the costs.
+  // Call when the ledger record has changed: it now grants `granted` and
+  // includes `written` of the unwritten costs.
   void OnRecorded(Tokens granted, Tokens written);
 
-  // Makes `amount` unavailable until `OnRecorded`, as a write in flight gives
-  // it back.
+  // Makes at least `amount` unavailable until `OnRecorded`, as a write in
+  // flight gives this amount back.
   void SetReturning(Tokens amount) {
     if (amount > returning_) returning_ = amount;
   }
 
-  // Subtracts a cost that will never be written, as its bill exists already.
+  // Subtracts from the unwritten costs one that will never be written, as a
+  // bill for its request exists already.
   void CancelUnwritten(Tokens cost) { unwritten_ -= cost; }
 
   std::deque<WaitingHold>& waiting() { return waiting_; }
--- a/ledger/bill.h
+++ b/ledger/bill.h
@@ -1,10 +1,11 @@
 // One bill, and the batches in which bills reach the key-value service.
 //
 // A request is billed once. Its bill id is generated with the request (unique
-// by construction, as it contains the router's incarnation), or derived from
-// the caller's Idempotency-Key so that a retry at another router has the same
-// id. Bills are written in batches: one batch is one journal key, written
-// create-only in the same transaction that updates the ledger records.
+// by construction, as it contains the router's incarnation, one run of its
+// process), or derived from the caller's Idempotency-Key so that a retry at
+// another router has the same id. Bills are written in batches: one batch is
+// one journal key, written create-only in the same transaction that updates the
+// ledger records.
 
 #ifndef QUAYTRACK_LEDGER_BILL_H_
 #define QUAYTRACK_LEDGER_BILL_H_
@@ -27,8 +28,8 @@
   Tokens tokens = 0;
   // Milliseconds since the Unix epoch; informational, no decision uses it.
   std::int64_t at_ms = 0;
-  // Set when the id is derived from the caller's Idempotency-Key: the name of
-  // the create-only marker that prevents a second bill for the same request.
+  // Name of the create-only marker that prevents a second bill for the same
+  // request; empty if the request needs none (router/request_budget.cc).
   std::string marker;
 
   bool operator==(const Bill&) const = default;
--- a/ledger/bill_batches.h
+++ b/ledger/bill_batches.h
@@ -1,7 +1,7 @@
 // Bills that are not known to be stored yet, in the batches that carry them.
 //
 //   BillBatches bills({1000, 50});
-//   const auto seq = bills.Add(bill);  // 0 if it is billed already
+//   const auto seq = bills.Add(bill);  // 0 if its marker is unwritten
 //   bills.SealNext();                  // the oldest batch is being written
 //   Write(bills.sealed()->bills);      // as part of a commit
 //   bills.Resolve();                   // the commit is known to be stored
@@ -45,16 +45,16 @@
 
   // Seals the oldest batch, if there is one and none is sealed.
   void SealNext();
-  // Like SealNext, but seals an empty batch if there is none: every commit
-  // needs a batch number.
+  // Returns the sealed batch. If none is sealed, seals the oldest batch first,
+  // or an empty one if there is none: every commit needs a batch number.
   const BillBatch& Seal();
 
   const std::optional<BillBatch>& sealed() const { return sealed_; }
   // The sealed batch's total cost for a budget.
   Tokens SealedCost(const BudgetName& budget) const;
 
-  // Removes from the sealed batch the bills whose markers exist, as other
-  // routers have billed the same requests, and returns them.
+  // Removes from the sealed batch, and returns, the bills whose markers exist:
+  // other routers have billed the same requests.
   std::vector<Bill> DropExisting(const std::set<std::string>& markers);
 
   // Discards the sealed batch, which is stored, and returns its number.
--- a/ledger/grant_policy.cc
+++ b/ledger/grant_policy.cc
@@ -9,22 +9,25 @@
 // so that the first router to ask doesn't empty the budget.
 constexpr Tokens kExtraDivisor = 4;
 
-// All routers together keep at most half of what remains: with an eighth each,
-// 32 routers left nothing free and kept reclaiming each other's grants.
+// Returns what this router keeps even without demand. All routers together keep
+// at most half of what remains: with an eighth each, 32 routers left nothing
+// free and kept reclaiming each other's grants.
 Tokens StandingShare(const GrantView& view, const BudgetPolicy& policy) {
   if (policy.standing_divisor <= 0 || view.remaining <= 0) return 0;
   const int divisor = std::max(policy.standing_divisor, 2 * view.routers);
   return view.remaining / divisor;
 }
 
-// Rule 2: the amount to give back when other routers want more.
+// Rule 2 of ledger/grant_policy.h: returns the amount to give back when other
+// routers want more.
 Tokens IdleToReturn(const GrantView& view) {
   const Tokens idle = view.granted - view.in_use - view.waiting;
   const Tokens missing = view.wanted_by_others - view.free;
   return std::clamp<Tokens>(missing, 0, std::max<Tokens>(idle, 0));
 }
 
-// Rule 3: the change towards the desired size, with a dead band around it.
+// Rule 3 of ledger/grant_policy.h: returns the change towards the desired size,
+// which is 0 while the grant is near that size.
 Tokens MoveToDesiredGrant(const GrantView& view, const BudgetPolicy& policy,
                           Tokens free) {
   const Tokens desired = DesiredGrant(view, policy);
--- a/ledger/grant_policy.h
+++ b/ledger/grant_policy.h
@@ -1,8 +1,8 @@
 // How large a router's grant of one budget should be.
 //
 // A large grant lets a router serve through a long outage of the key-value
-// service; a small one leaves more for other routers. The bundle gives the
-// policy of each budget:
+// service; a small one leaves more for other routers. The bundle
+// (bundle/bundle.h) gives the policy of each budget:
 //
 //   cover              seconds that a grant should last at measured demand;
 //   standing_divisor   every router keeps at least remaining/divisor, even
@@ -38,9 +38,9 @@
 
 // A router's view of one budget.
 struct GrantView {
-  // This router's grant, less the bills of this write.
+  // This router's grant, less the bills in the write that is being built.
   Tokens granted = 0;
-  // Held by running requests, plus costs that aren't in the batch being
+  // Amounts held by running requests, plus costs that aren't in the batch being
   // written.
   Tokens in_use = 0;
   // Sum of the first waiting holds, in arrival order, that would fit.
@@ -53,20 +53,22 @@
   Tokens remaining = 0;
   // Routers that share the budget.
   int routers = 1;
-  // Another router wanted more within LedgerSyncOptions::scarcity_backoff.
+  // Whether another router wanted more within the last
+  // LedgerSyncOptions::scarcity_backoff (ledger/sync.h).
   bool recently_scarce = false;
-  // Sum of the other routers' `wanted` marks.
+  // Sum of the other routers' `wanted` marks (ledger/record.h).
   Tokens wanted_by_others = 0;
 };
 
 struct GrantPlan {
   // Change of this router's grant; a negative one gives back.
   Tokens delta = 0;
-  // The need that couldn't be covered; to be marked as wanted.
+  // The need that couldn't be covered; the record gets it as this router's
+  // `wanted` mark.
   Tokens short_by = 0;
 };
 
-// The size that the grant should be near when the budget isn't scarce.
+// Returns the size that the grant should be near when the budget isn't scarce.
 Tokens DesiredGrant(const GrantView& view, const BudgetPolicy& policy);
 
 GrantPlan PlanGrant(const GrantView& view, const BudgetPolicy& policy);
--- a/ledger/record.h
+++ b/ledger/record.h
@@ -35,8 +35,9 @@
 
 // One budget within a record.
 struct BudgetEntry {
-  // The bundle's limit, and the version that set it. A writer with a newer
-  // bundle replaces both; one with an older bundle leaves them.
+  // The bundle's limit, and the version of the bundle that set it. A writer
+  // with a newer bundle replaces limit and version; a writer with an older
+  // bundle leaves both.
   Tokens bundle_limit = 0;
   std::uint64_t bundle_version = 0;
   // Sum of top-ups made with `quaytrack budget add`.
@@ -52,12 +53,12 @@
 
   Tokens Limit() const { return bundle_limit + added; }
   Tokens Outstanding() const;
-  // What may still be granted. Negative if the limit was lowered below what is
-  // settled and granted.
+  // The amount that may still be granted. It is negative if the limit was
+  // lowered below what is settled and granted.
   Tokens Free() const { return Limit() - settled - Outstanding(); }
 
   Tokens GrantOf(const Incarnation& router) const;
-  // Changes a grant; a grant of 0 is removed.
+  // Adds `change` to the router's grant, and removes the grant if it becomes 0.
   void AddGrant(const Incarnation& router, Tokens change);
   Tokens WantedByOthers(const Incarnation& self) const;
   // Sets the bundle's limit if `version` is newer than the recorded one.
@@ -66,12 +67,14 @@
   bool operator==(const BudgetEntry&) const = default;
 };
 
-// The record's state of one writing incarnation.
+// The record's state of one incarnation (one run of a router process) that
+// writes it.
 struct WriterEntry {
-  // Sequence number of the latest applied batch; shows a writer whose answer
-  // was lost whether the write took effect.
+  // Sequence number of the latest applied batch; shows a writer that got no
+  // answer whether its write took effect.
   std::uint64_t seq = 0;
-  // The peer that keeps copies of the unwritten bills; empty if there is none.
+  // The witness, a peer that keeps copies of the unwritten bills
+  // (ledger/witness.h); empty if there is none.
   Incarnation witness;
   // Revision at which the incarnation registered; orders the incarnations of
   // one VM.
--- a/ledger/recovery.h
+++ b/ledger/recovery.h
@@ -34,21 +34,22 @@
 
 struct RecoveryInput {
   Incarnation dead;
-  // One snapshot: all records, the dead router's batches, existing markers.
+  // All records, the dead router's batches and the existing markers, from one
+  // snapshot of the key-value service.
   std::vector<ShardState> shards;
   std::vector<BillBatch> journal;
   std::set<std::string> existing_markers;
-  // The witness's copies.
+  // The witness's copies of the dead router's intents and bills.
   WitnessCopy copy;
-  // Bills for the copy's intents, as reported by the targets.
+  // Bills for the intents in `copy`, as reported by the targets.
   std::vector<Bill> asked;
 };
 
-// The bills from the copy and the targets that aren't stored yet.
+// Returns the bills from the copy and the targets that aren't stored yet.
 std::vector<Bill> MissingBills(const RecoveryInput& input);
 
-// The transaction that closes the account; std::nullopt if no record mentions
-// the dead router.
+// Returns the transaction that closes the account, or std::nullopt if no record
+// mentions the dead router.
 std::optional<LedgerCommit> PlanRecovery(const RecoveryInput& input);
 
 // Whether a record contains grants of `router`.
--- a/ledger/sync.cc
+++ b/ledger/sync.cc
@@ -196,10 +196,11 @@
   ServeWaiting();
 }
 
-// Processes a record that was read or watched; `complete` if one snapshot
-// showed it with all attempted records. Otherwise a record that includes the
-// sealed batch isn't cached, as the batch's costs would count twice, in the
-// record and as unwritten; all attempted records are read instead.
+// Processes a record that was read or watched; `complete` tells whether one
+// snapshot showed this record with all attempted records. If not, a record that
+// includes the sealed batch isn't cached, as the batch's costs would count
+// twice, in the record and as unwritten; all attempted records are read
+// instead.
 void LedgerSync::ProcessRecord(Instant now, const ShardState& state,
                                bool complete) {
   NoteWantedMarks(now, state);
@@ -249,7 +250,8 @@
   for (int shard : attempted_) {
     const ShardState& state = cache_[shard];
     UpdateAccounts(state);
-    // The applied attempt may cover fewer records than a later one.
+    // The applied attempt may cover fewer records than a later one, so this
+    // record may lack a writer entry.
     if (state.record.writers.contains(self_)) joined_.insert(shard);
   }
   events_.push_back({LedgerEventKind::kBillsWritten, {}, {}, bills_.Resolve()});
--- a/ledger/sync.h
+++ b/ledger/sync.h
@@ -32,8 +32,8 @@
 // shows whether one was. The batch is resolved from one snapshot of all those
 // records, because a commit is applied to all its records or to none. A watch,
 // or a read of some of the records, that shows the commit as applied only
-// causes a read of all of them. Until the batch is resolved, what an attempt
-// may have given back is unavailable, and so is what it may have taken.
+// causes a read of all attempted records. Until the batch is resolved, what an
+// attempt may have given back is unavailable, and so is what it may have taken.
 //
 // Fencing. Recovery of a router that is declared dead removes `writers[self]`.
 // A router that finds its entry missing reports kFenced and must stop.
@@ -78,9 +78,9 @@
   // Minimum time between two commits; bounds writes per second. Set by
   // --commit-spacing-ms.
   Duration commit_spacing = std::chrono::milliseconds(100);
-  // The same while a witness has copies of all unwritten bills and no request
-  // waits for a grant: 0.04 writes per request at 25 requests per second
-  // (docs/design/bills-and-witness.md).
+  // Minimum time between two commits while a witness has copies of all
+  // unwritten bills and no request waits for a grant: 0.04 writes per request
+  // at 25 requests per second (docs/design/bills-and-witness.md).
   Duration witnessed_spacing = std::chrono::milliseconds(1000);
   // Maximum time that a request waits for a larger grant.
   Duration hold_timeout = std::chrono::milliseconds(800);
@@ -106,7 +106,8 @@
   kHeld,
   kWaiting,      // a kHoldGranted or kHoldRefused event follows
   kExhausted,    // the budget can't cover it
-  kUnavailable,  // the local grant can't, and the ledger can't be reached
+  kUnavailable,  // the local grant can't cover it, and the ledger can't be
+                 // reached
   kUnknownBudget,
   kFenced,
 };
@@ -114,7 +115,7 @@
 // Why a waiting hold was refused.
 enum class HoldRefusal { kExhausted, kUnavailable, kFenced };
 
-// A record as it was read, or as it stands after a commit.
+// A ledger record as it was read, or as it is after a commit.
 struct ShardState {
   int shard = 0;
   // Revision of the last change; 0 if the key doesn't exist.
@@ -122,9 +123,10 @@
   LedgerRecord record;
 };
 
-// An action: read these records as one snapshot, and report which of `markers`
-// exist. One snapshot, because a record that includes a batch must not be
-// combined with an older state of another record that the same batch changed.
+// An action: read the records of `shards` as one snapshot, and report which of
+// `markers` exist. One snapshot is needed because a record that includes a
+// batch must not be combined with an older state of another record that the
+// same batch changed.
 struct ReadShards {
   std::vector<int> shards;
   std::vector<std::string> markers;
@@ -149,8 +151,8 @@
   kHoldGranted,   // `request` may start
   kHoldRefused,   // `request` must be refused; `refusal` is the reason
   kBillsWritten,  // bills up to `seq` are stored
-  kBillDropped,   // `request`'s bill existed already; not billed again
-  kFenced,        // this incarnation was declared dead
+  kBillDropped,  // the bill of `request` existed already; it isn't billed again
+  kFenced,       // this incarnation was declared dead
 };
 
 struct LedgerEvent {
@@ -169,12 +171,12 @@
   void SetBudgets(std::uint64_t bundle_version,
                   const std::vector<BudgetSetting>& budgets);
 
-  // Sets the number of routers that share the budgets; it bounds the standing
-  // shares.
+  // Sets the number of routers that share the budgets; the number bounds the
+  // standing shares (ledger/grant_policy.h).
   void SetFleetSize(int routers) { fleet_size_ = routers; }
 
-  // Sets the peer that keeps copies of this router's unwritten bills. It is the
-  // witness once `recorded_witness` returns it.
+  // Sets the peer that keeps copies of this router's unwritten bills. The peer
+  // is the witness once `recorded_witness` returns its name.
   void SetWitness(const Incarnation& witness);
   // Sets whether the link to the witness is up.
   void SetWitnessLink(bool up) { witness_link_ = up; }
@@ -194,42 +196,44 @@
   // Ends a hold, or a wait for one, without a bill.
   void Release(const RequestId& request, const BudgetName& budget);
 
-  // The next action, if any is due and none is in flight.
+  // Returns the next action if one is due and none is in flight.
   std::optional<LedgerAction> Next(Instant now);
 
-  // The result of a ReadShards; `states` is std::nullopt if the service didn't
-  // answer.
+  // Takes the result of a ReadShards; `states` is std::nullopt if the service
+  // didn't answer.
   void OnRead(Instant now, std::optional<std::vector<ShardState>> states,
               const std::set<std::string>& existing_markers);
   void OnCommit(Instant now, CommitOutcome outcome, std::int64_t revision);
 
-  // Another router announced (`LedgerCommit::need`) that this record should be
-  // read.
+  // Call when another router has announced (`LedgerCommit::need`) that this
+  // record should be read.
   void OnNeed(int shard);
-  // The same for all records; call it when such a message may have been missed.
+  // Schedules a read of all records. Call when a `need` message may have been
+  // missed.
   void Refresh();
 
-  // A record was received by other means than a ReadShards.
+  // Call when a record was received by other means than a ReadShards.
   void OnWatched(Instant now, const ShardState& state);
 
   // Refuses holds that have waited for `hold_timeout`.
   void Tick(Instant now);
 
-  // Gives back every idle amount in the next commits and takes none; for a
-  // planned stop. Done once `Drained` returns true.
+  // Starts to give back every idle amount in the next commits and to take none,
+  // for a planned stop. `Drained` returns true once this is done.
   void StartDrain() { draining_ = true; }
   bool Drained() const;
 
   std::vector<LedgerEvent> TakeEvents();
 
-  // For status pages and tests.
+  // The accounts, for status pages and tests.
   const std::map<BudgetName, Account>& accounts() const { return accounts_; }
   bool fenced() const { return fenced_; }
   bool KvReachable() const { return reachable_; }
   // Whether every record that the bundle's budgets need has been read once.
   bool Primed() const;
   std::size_t UnwrittenBills() const { return bills_.size(); }
-  // The latest known record of a shard; nullptr before the first read.
+  // Returns the latest known record of a shard, or nullptr before the first
+  // read.
   const ShardState* CachedShard(int shard) const;
 
  private:
@@ -284,7 +288,7 @@
   std::set<int> joined_;
 
   Phase phase_ = Phase::kIdle;
-  // The sealed batch is being written.
+  // Bills that aren't known to be stored. The sealed batch is being written.
   BillBatches bills_;
   // Budgets whose entry may need a change.
   std::set<BudgetName> dirty_;
@@ -300,7 +304,7 @@
   // When another router's `wanted` mark was last seen, by budget.
   std::map<BudgetName, Instant> wanted_seen_at_;
   bool draining_ = false;
-  // A request, here or at another router, waits for a larger grant.
+  // Whether a request, here or at another router, waits for a larger grant.
   bool urgent_ = false;
   bool fenced_ = false;
   std::int64_t registered_ = 0;
--- a/ledger/sync_commit.cc
+++ b/ledger/sync_commit.cc
@@ -11,7 +11,7 @@
 namespace {
 
 // Sum of the first waiting holds, in arrival order, that fit into `room`. The
-// first always counts, so that its amount is marked as wanted if it is too
+// first hold always counts, so that its amount is marked as wanted if it is too
 // large.
 Tokens WaitingThatFits(const std::deque<WaitingHold>& waiting, Tokens room) {
   Tokens sum = 0;
--- a/ledger/witness.cc
+++ b/ledger/witness.cc
@@ -5,7 +5,7 @@
 namespace quaytrack {
 namespace {
 
-// Lets one lambda for each message type act as a visitor.
+// Combines one lambda for each message type into a visitor.
 template <class... Fs>
 struct Overloaded : Fs... {
   using Fs::operator()...;
@@ -79,7 +79,8 @@
 
 void WitnessStore::Restart(const Incarnation& owner) {
   OwnerCopies& held = copies_[owner];
-  // A link that never caught up adds to the copies from the one before it.
+  // `previous` still has copies from earlier links if the last link never
+  // caught up. They are kept, as the owner may not have sent them again.
   held.current.intents.merge(held.previous.intents);
   held.current.bills.merge(held.previous.bills);
   held.previous = std::exchange(held.current, {});
--- a/ledger/witness.h
+++ b/ledger/witness.h
@@ -10,7 +10,7 @@
 // seconds between two ledger writes.
 //
 // The witness uses its copies only after proof that the owner is dead
-// (ledger/recovery.h), and only if the owner's ledger entry names it.
+// (ledger/recovery.h), and only if the owner's ledger entry names this witness.
 //
 //   WitnessFeed   the owner's side: what to send, and what was acknowledged;
 //   WitnessStore  the witness's side: what it received from each owner.
@@ -33,9 +33,9 @@
 
 // A request that was sent to a target and has no bill yet.
 struct Intent {
-  // The bill with the worst-case cost in `tokens`.
+  // A bill whose `tokens` are the worst-case cost.
   Bill worst_case;
-  // Where to query what ran; empty if the target can't be queried.
+  // Address at which to query what ran; empty if the target can't be queried.
   std::string target_address;
   Tokens price_prompt = 0;
   Tokens price_output = 0;
@@ -50,17 +50,17 @@
   std::uint64_t seq = 0;
   Bill bill;
 };
-// The request ended without a bill.
+// Reports that the request ended without a bill.
 struct ReleaseMessage {
   RequestId request;
 };
-// All batches up to `seq` are stored.
+// Reports that all batches up to `seq` are stored.
 struct WrittenMessage {
   std::uint64_t seq = 0;
 };
 
-// Everything that was open when the link opened has been sent; what the witness
-// received on earlier links is obsolete.
+// Reports that all intents and bills that were open when the link opened have
+// been sent. What the witness received on earlier links is obsolete.
 struct CaughtUpMessage {};
 
 using WitnessMessage = std::variant<IntentMessage, BillMessage, ReleaseMessage,
@@ -74,16 +74,17 @@
   void OnRelease(const RequestId& request);
   void OnWritten(std::uint64_t seq);
 
-  // A link to a witness has opened: all open intents and bills are sent again.
+  // Call when a link to a witness has opened: all open intents and bills are
+  // sent again.
   void OnLinkOpen();
   void OnLinkClosed();
 
-  // Messages to send now, in order. The witness acknowledges the number of
-  // messages that it has stored.
+  // Returns the messages to send now, in order. The witness acknowledges the
+  // number of messages that it has stored.
   std::vector<WitnessMessage> TakeOutgoing();
 
-  // The witness has stored the first `n` messages of this link. Returns the
-  // requests whose bills are now copied.
+  // Call when the witness has stored the first `n` messages of this link.
+  // Returns the requests whose bills are now copied.
   std::vector<RequestId> OnAck(std::uint64_t n);
 
   // Whether everything that was open when the link opened is acknowledged.
@@ -103,7 +104,7 @@
   std::uint64_t pushed_ = 0;
   std::uint64_t acked_ = 0;
   std::uint64_t catch_up_ = 0;
-  // Message numbers of bills that are not acknowledged.
+  // Message number and request of each bill that is not acknowledged.
   std::deque<std::pair<std::uint64_t, RequestId>> unacked_;
 };
 
@@ -115,12 +116,13 @@
 
 class WitnessStore {
  public:
-  // The owner opened a new link and will send everything again. Copies from the
-  // last link are kept until then.
+  // Call when the owner has opened a new link, on which it sends everything
+  // again. Copies from earlier links are kept until it has done so.
   void Restart(const Incarnation& owner);
   void OnMessage(const Incarnation& owner, const WitnessMessage& message);
 
-  // All copies of an owner's intents and bills; std::nullopt if there are none.
+  // Returns all copies of an owner's intents and bills, or std::nullopt if
+  // there are none.
   std::optional<WitnessCopy> Of(const Incarnation& owner) const;
   void Forget(const Incarnation& owner) { copies_.erase(owner); }
   std::size_t owners() const { return copies_.size(); }
@@ -128,7 +130,8 @@
  private:
   struct OwnerCopies {
     WitnessCopy current;
-    // From earlier links, until the present one has caught up.
+    // Copies from earlier links; they are kept until the present link has
+    // caught up.
     WitnessCopy previous;
   };
   std::map<Incarnation, OwnerCopies> copies_;
--- a/member/registry.h
+++ b/member/registry.h
@@ -1,9 +1,10 @@
 // The routers that are registered in the key-value service.
 //
-// Each incarnation registers under a key with a lease. `RouterRegistry`
-// contains the entries from reads and watches, and decides from them and from
-// the VM list (member/vm_tracker.h) whether an incarnation is proven dead. It
-// also chooses the witness of a router.
+// Each incarnation (one run of a router process) registers under a key with a
+// lease. `RouterRegistry` contains the entries from reads and watches, and
+// decides from them and from the VM list (member/vm_tracker.h) whether an
+// incarnation is proven dead. It also chooses the witness of a router
+// (ledger/witness.h).
 
 #ifndef QUAYTRACK_MEMBER_REGISTRY_H_
 #define QUAYTRACK_MEMBER_REGISTRY_H_
@@ -27,7 +28,8 @@
   std::string peer_address;
   std::string admin_address;
   std::uint64_t bundle_version = 0;
-  // Revision at which the key was created: orders incarnations of one VM.
+  // Revision at which the registration key was created; orders the incarnations
+  // of one VM.
   std::int64_t created = 0;
 };
 
@@ -51,17 +53,18 @@
   bool ProvenDead(Instant now, const Incarnation& incarnation,
                   std::int64_t created, const VmTracker& vms) const;
 
-  // The registered peer that should keep copies of `self`'s unwritten bills, by
-  // rendezvous hash: one in another hall if there is any, else any on another
-  // VM. Empty if there is none. `avoid` is not chosen.
+  // Returns the registered peer that should keep copies of `self`'s unwritten
+  // bills, by rendezvous hash: a peer in another hall if there is one, else a
+  // peer on another VM. Returns an empty name if there is none. `avoid` is not
+  // chosen.
   Incarnation WitnessFor(const RouterEntry& self,
                          const Incarnation& avoid) const;
 
  private:
   std::map<Incarnation, RouterEntry> entries_;
-  // The latest registration ever seen on each VM. Its incarnation is compared
-  // too: a router whose lease lapsed registers again at a later revision, which
-  // doesn't prove it dead.
+  // The latest registration ever seen on each VM. `ProvenDead` compares the
+  // incarnation too: a router whose lease lapsed registers again at a later
+  // revision, which doesn't prove it dead.
   std::map<VmName, RouterEntry> latest_;
 };
 
--- a/member/vm_tracker.cc
+++ b/member/vm_tracker.cc
@@ -45,7 +45,7 @@
   return it != listed_.end() && it->second == VmState::kLeaving;
 }
 
-// Whether lists arrive without a gap.
+// Whether there have been lists and the time since the last one isn't a gap.
 bool VmTracker::ListsCurrent(Instant now) const {
   return continuous_since_ && now - last_ <= options_.max_gap;
 }
--- a/member/vm_tracker.h
+++ b/member/vm_tracker.h
@@ -1,17 +1,18 @@
 // Decides from the platform's VM list which VMs are leaving or gone.
 //
-// The list shows live and leaving VMs with a delay. It gives three results:
+// The list shows live and leaving VMs with a delay. VmTracker derives three
+// results from the lists:
 //
 //   Leaving(vm)     the last list shows the VM as leaving: it gets no new work;
 //   Dropped(vm)     lists showed the VM, and have lacked it since, without a
 //                   gap, for longer than the list's lag: the VM is gone;
-//   Absent(vm)      the same, or lists have never shown the VM. This is also
+//   Absent(vm)      as Dropped(vm), or lists never showed the VM. This is also
 //                   true of a new VM that the list doesn't show yet, so it is a
 //                   proof only for VMs that are known to be old.
 //
 // A missing list proves nothing: the time counts anew after a gap, as the VM
-// may have been listed meanwhile. A lapsed lease is no proof either: its owner
-// may be paused and continue.
+// may have been listed meanwhile. A router's lapsed lease is no proof either:
+// the router may be paused and continue.
 
 #ifndef QUAYTRACK_MEMBER_VM_TRACKER_H_
 #define QUAYTRACK_MEMBER_VM_TRACKER_H_
@@ -48,7 +49,7 @@
 struct VmTrackerOptions {
   // Maximum delay of the list, with a margin.
   Duration lag = std::chrono::seconds(3);
-  // A longer time between two lists is a gap.
+  // Maximum time between two lists; a longer time is a gap.
   Duration max_gap = std::chrono::seconds(10);
 };
 
--- a/route/breaker.h
+++ b/route/breaker.h
@@ -2,8 +2,8 @@
 //
 // Closed: requests are sent. After `failures_to_open` failures in a row the
 // breaker opens: no request is sent for a pause that doubles with each failed
-// probe. Then it is half open: one request is sent as a probe, and its result
-// closes or opens the breaker.
+// probe. After the pause the breaker is half open: one request is sent as a
+// probe, and its result closes or opens the breaker.
 //
 //   if (breaker.Allows(now)) {
 //     breaker.OnSent(now);
@@ -77,7 +77,7 @@
     pause_ = std::min(2 * pause_, options_.max_pause);
   }
 
-  // The request ended without showing whether the target works.
+  // Call when the request ended without showing whether the target works.
   void OnInconclusive() { probing_ = false; }
 
  private:
--- a/route/target_book.h
+++ b/route/target_book.h
@@ -80,7 +80,8 @@
   kOk,
   kOverloaded,  // the target refused because of overload
   kFailed,      // error, reset, malformed answer or timeout
-  kCancelled,   // the router ended it; shows nothing about the target
+  kCancelled,   // the router ended the request, which shows nothing about the
+                // target
 };
 
 struct TargetTableOptions {
@@ -90,7 +91,7 @@
   // Bound on the load of a prefix's target, as a multiple of the mean load.
   double affinity_overload = 1.25;
   // Time constant of the exponential decay of a report's weight; the weight
-  // halves about every 0.7 of it.
+  // halves about every 0.7 of this time.
   Duration report_decay = std::chrono::seconds(4);
   // Extra cost of a target in another hall.
   Duration remote_hall_cost = std::chrono::milliseconds(2);
@@ -106,12 +107,12 @@
  public:
   TargetTable(TargetTableOptions options, std::uint64_t seed);
 
-  // Replaces the targets; those whose names stay keep their state.
+  // Replaces the targets; a target whose name stays keeps its state.
   void SetTargets(const std::vector<TargetSpec>& specs);
 
-  // The target for one request, or std::nullopt if no usable target has room.
-  // `excluded` are the targets that this request has tried. A `prefix_hash` of
-  // 0 means no prefix.
+  // Returns the target for one request, or std::nullopt if no usable target has
+  // room. `excluded` are the targets that this request has tried. A
+  // `prefix_hash` of 0 means no prefix.
   std::optional<TargetIndex> Choose(Instant now, const GroupName& group,
                                     std::uint64_t prefix_hash,
                                     const std::set<TargetName>& excluded);
@@ -120,7 +121,8 @@
   bool AnyUsable(Instant now, const GroupName& group) const;
 
   void OnSent(Instant now, TargetIndex n);
-  // Returns whether this opened the target's breaker.
+  // Call when a request has ended. Returns whether its outcome opened the
+  // target's breaker.
   bool OnEnd(Instant now, const TargetName& name, TargetOutcome outcome,
              Duration service_time);
   void OnLoadReport(Instant now, const TargetName& name,
--- a/route/wait_queue.h
+++ b/route/wait_queue.h
@@ -7,9 +7,9 @@
 // many requests another customer has waiting, and no class starves.
 //
 // A request that can't be served before its deadline is refused when it
-// arrives, with the time after which the queue is expected to be empty, as
-// waiting would only waste its caller's time. `TakeExpired` removes requests
-// whose deadlines have passed in the queue.
+// arrives, as waiting would only waste its caller's time. The refusal gives the
+// time after which the queue is expected to be empty. `TakeExpired` removes
+// requests whose deadlines have passed in the queue.
 
 #ifndef QUAYTRACK_ROUTE_WAIT_QUEUE_H_
 #define QUAYTRACK_ROUTE_WAIT_QUEUE_H_
@@ -51,7 +51,7 @@
 
 struct QueueAnswer {
   QueueVerdict verdict{};
-  // With a refusal: the time to wait before a retry.
+  // Time to wait before a retry, if the request is refused.
   Duration retry_after{};
 };
 
@@ -67,11 +67,13 @@
  public:
   explicit WaitQueue(WaitQueueOptions options) : options_(options) {}
 
-  // `service` is the expected time from sending the request to its answer.
+  // Queues or refuses a request. `service` is the expected time from sending
+  // the request to its answer.
   QueueAnswer Push(Instant now, QueuedRequest request, Duration service);
 
-  // Removes and returns the next request to send; std::nullopt if the queue is
-  // empty. Call `TakeExpired` first, as `Pop` doesn't check deadlines.
+  // Removes and returns the next request to send, or returns std::nullopt if
+  // the queue is empty. Call `TakeExpired` first, as `Pop` doesn't check
+  // deadlines.
   std::optional<QueuedRequest> Pop(Instant now);
 
   // Puts back a request that was popped but found no target.
@@ -79,7 +81,7 @@
 
   // Removes and returns all requests whose deadlines have passed.
   std::vector<QueuedRequest> TakeExpired(Instant now);
-  // Returns whether the request was queued.
+  // Removes a request; returns whether it was queued.
   bool Remove(const RequestId& request);
 
   std::size_t size() const { return size_; }
@@ -95,7 +97,7 @@
   struct ClassState {
     double pass = 0;
     std::map<CustomerName, Flow> flows;
-    // Pass of the flow that was served last; a new flow starts there.
+    // Pass of the flow that was served last; a new flow starts with this pass.
     double flow_time = 0;
     std::size_t size = 0;
   };
--- a/router/admin_api.h
+++ b/router/admin_api.h
@@ -6,8 +6,8 @@
 //   GET /status    JSON: budgets, targets and peers as this router sees them
 //   POST /drain    starts a planned stop
 //
-// It owns no state: it reads the router's components, which must outlive it,
-// and calls the handlers for readiness, drain state and a planned stop.
+// AdminApi owns no state: it reads the router's components, which must outlive
+// it, and calls the handlers for readiness, drain state and a planned stop.
 
 #ifndef QUAYTRACK_ROUTER_ADMIN_API_H_
 #define QUAYTRACK_ROUTER_ADMIN_API_H_
@@ -35,7 +35,7 @@
     const EtcdClient& kv;
     const BundleDriver& bundles;
     const RequestTable& requests;
-    // Created once the addresses are bound.
+    // `members` and `recovery` are created once the addresses are bound.
     const std::unique_ptr<Membership>& members;
     const std::unique_ptr<RecoveryDriver>& recovery;
   };
--- a/router/bill_gate.h
+++ b/router/bill_gate.h
@@ -3,7 +3,8 @@
 // A bill is safe once it is stored in the key-value service, or once the
 // recorded witness has acknowledged a copy. If neither happens within the
 // timeout, the answer is sent anyway and counted as unprotected. Until the
-// service is reachable again such a bill exists in this router's memory only.
+// service is reachable again, an unprotected bill exists in this router's
+// memory only.
 
 #ifndef QUAYTRACK_ROUTER_BILL_GATE_H_
 #define QUAYTRACK_ROUTER_BILL_GATE_H_
--- a/router/bundle_driver.cc
+++ b/router/bundle_driver.cc
@@ -39,7 +39,7 @@
       if (!it.deleted) OnHead(it.item.value);
     }
   };
-  // The next read starts a new watch.
+  // If the watch breaks, the next read starts a new one.
   on.broken = [this] { loop_.Post([this] { watch_.reset(); }); };
   watch_ = kv_.StartWatch(keys::kBundleHead, revision, std::move(on));
 }
--- a/router/bundle_driver.h
+++ b/router/bundle_driver.h
@@ -1,8 +1,9 @@
-// Fetches bundles from the key-value service for the BundleKeeper.
+// Fetches bundles from the key-value service for the BundleKeeper
+// (bundle/keeper.h).
 //
 // A watch on the head reports a new version immediately; a read every few
 // seconds finds what a broken watch missed. The chunks of the text are fetched
-// by digest. It owns the BundleKeeper and the watch.
+// by digest. BundleDriver owns the BundleKeeper and the watch.
 
 #ifndef QUAYTRACK_ROUTER_BUNDLE_DRIVER_H_
 #define QUAYTRACK_ROUTER_BUNDLE_DRIVER_H_
@@ -37,9 +38,9 @@
   std::function<void()> on_accepted_;
   std::unique_ptr<EtcdClient::Watch> watch_;
   std::unique_ptr<Timer> read_timer_;
-  // Version being fetched; prevents a second fetch of it.
+  // Version being fetched; prevents a second fetch of this version.
   std::uint64_t fetching_version_ = 0;
-  // Last refused version; prevents logging it again.
+  // Last refused version; prevents a second log of its refusal.
   std::uint64_t refused_ = 0;
 };
 
--- a/router/caller_api.h
+++ b/router/caller_api.h
@@ -1,7 +1,8 @@
 // The HTTP API for callers: model calls, the list of models, service calls.
 //
-// It parses and validates each request, and starts a Forward for it
-// (router/forward.h). Requests that fail validation are answered here.
+// CallerApi parses and validates each request, and starts a Forward for it
+// (router/forward.h). Requests that fail validation get a refusal from
+// CallerApi itself.
 
 #ifndef QUAYTRACK_ROUTER_CALLER_API_H_
 #define QUAYTRACK_ROUTER_CALLER_API_H_
--- a/router/claim_driver.cc
+++ b/router/claim_driver.cc
@@ -15,8 +15,8 @@
   if (items.empty()) return out;
   out.exists = true;
   out.revision = items[0].mod_revision;
-  // A claim that can't be decoded counts as claimed, so its call never runs
-  // again.
+  // A claim that can't be decoded is read as one with an unknown outcome, so
+  // its call never runs again.
   ClaimEntry unreadable;
   unreadable.state = ClaimState::kUnknown;
   out.entry = DecodeClaim(items[0].value).value_or(unreadable);
--- a/router/claim_driver.h
+++ b/router/claim_driver.h
@@ -3,11 +3,11 @@
 //   claims.tracker().Begin(now, key, digest, request, wall_ms);
 //   claims.Kick();                  // events reach the handler later
 //
-// It owns the ClaimTracker and the timers that start the writes. A write
-// without a reply is reported to the ClaimTracker as unknown and is repeated. A
-// stored claim that can't be decoded counts as claimed, so that its call never
-// runs again. It relies on the loop, the service's client and the retention
-// lease, which must outlive it.
+// ClaimDriver owns the ClaimTracker and the timers that start the writes. A
+// write without a reply is reported to the ClaimTracker as unknown and is
+// repeated. A stored claim that can't be decoded is read as one with an unknown
+// outcome, so that its call never runs again. ClaimDriver relies on the loop,
+// the service's client and the retention lease, which must outlive it.
 
 #ifndef QUAYTRACK_ROUTER_CLAIM_DRIVER_H_
 #define QUAYTRACK_ROUTER_CLAIM_DRIVER_H_
--- a/router/context.h
+++ b/router/context.h
@@ -42,14 +42,15 @@
   Incarnation self;
   // Wait queues by group; each is created on first use.
   std::map<GroupName, WaitQueue>& queues;
-  // Addresses by target. Removed targets keep theirs, as requests in flight may
-  // need it.
+  // Addresses by target. A removed target keeps its address, as requests in
+  // flight may need the address.
   std::map<TargetName, std::string>& addresses;
   // Whether the router that owns a claim is proven dead.
   std::function<bool(const ClaimEntry&)> owner_is_dead;
-  // A target may have room: assigns waiting requests to targets.
+  // Called when a target of the group may have room: assigns waiting requests
+  // to targets.
   std::function<void(const GroupName&)> on_capacity;
-  // The request has ended and can be removed.
+  // Called when a request has ended and can be removed.
   std::function<void(const RequestId&)> on_request_ended;
 
   Instant Now() const { return clock.Now(); }
--- a/router/forward.h
+++ b/router/forward.h
@@ -6,14 +6,14 @@
 //                                                 std::move(job));
 //   it->Start();
 //
-// It consists of the claim (router/request_claim.h), the budget
+// Forward consists of the claim (router/request_claim.h), the budget
 // (router/request_budget.h), and the job, which has all code that differs
 // between model calls and service calls (router/forward_job.h). It owns the
 // caller's exchange and the attempt at a target, and keeps itself alive while
-// one of them can still report. Every request ends in one of three ways: with
-// its answer, with a refusal (router/refusal.h), or without a reply because its
-// caller disconnected before it was sent. In the last case it leaves no hold,
-// no claim and no queue entry behind.
+// the exchange or the attempt can still report. Every request ends in one of
+// three ways: with its answer, with a refusal (router/refusal.h), or without a
+// reply because its caller disconnected before it was sent. In the last case
+// the request leaves no hold, no claim and no queue entry behind.
 //
 // router/forward_impl.h implements the steps before a target is chosen and the
 // end of a request, router/forward_attempt_impl.h the attempts at targets.
@@ -50,14 +50,15 @@
   void OnHoldRefused(HoldRefusal reason) { Refuse(budget_.RefusalFor(reason)); }
   void OnClaimWon();
   void OnClaimAnswer(const ClaimAnswer& answer);
-  // Takes a target that has room; false if none has.
+  // Assigns the request to a target that has room; returns false if none has.
   bool TryAssign();
   void OnQueueExpired(Duration retry_after);
   void OnTargetUnresponsive(const TargetName& target);
   void OnBillSafe(BillSafety safety);
   void OnClaimStored();
-  // The time that a planned stop allows for requests is over: ends this one,
-  // and reports to its caller whether it may have run. A bill may follow.
+  // Call when the time that a planned stop allows for requests is over. Ends
+  // this request, and reports to its caller whether it may have run. A bill may
+  // follow.
   void OnDrainDeadline();
   void Tick(Instant now);
 
--- a/router/forward_attempt_impl.h
+++ b/router/forward_attempt_impl.h
@@ -14,7 +14,7 @@
 // Bytes. When more than this is buffered for a slow caller, reading from the
 // target pauses until the buffer has drained.
 inline constexpr std::size_t kUnsentHighWater = 16 * 1024;
-// Per request, each at a different target.
+// Maximum number of attempts of a request, each at a different target.
 inline constexpr std::size_t kMaxAttempts = 3;
 // Maximum wait for an engine's usage report of a cancelled request.
 inline constexpr Duration kCancelTimeout = std::chrono::seconds(1);
--- a/router/forward_impl.h
+++ b/router/forward_impl.h
@@ -12,8 +12,9 @@
 
 namespace quaytrack {
 
-// Maximum time to write a claim before the caller is refused, and to write its
-// end before the answer is sent without it (docs/design/claims.md).
+// Maximum time to write a claim, after which the caller is refused, and to
+// write the claim's end, after which the answer is sent although the end isn't
+// stored (docs/design/claims.md).
 inline constexpr Duration kClaimTimeout = std::chrono::milliseconds(1500);
 
 template <ForwardJob Job>
@@ -222,8 +223,8 @@
   FinishIfStored();
 }
 
-// A caller that has its answer may retry immediately, at any router; so the
-// answer is stored before it is sent.
+// Sends the answer if its bill is safe too. A caller that has its answer may
+// retry immediately, at any router; so the answer is stored before it is sent.
 template <ForwardJob Job>
 void Forward<Job>::OnClaimStored() {
   claim_.OnStored();
--- a/router/forward_job.h
+++ b/router/forward_job.h
@@ -46,17 +46,19 @@
   // Cost of a complete and of an incomplete answer.
   { job.Cost() } -> std::same_as<Tokens>;
   { job.CostIfIncomplete() } -> std::same_as<Tokens>;
-  // Sends a complete answer, or the held-back end of a stream.
+  // Sends a complete answer; for a stream, sends its last part, which the job
+  // keeps until the bill is safe (router/sse_relay.h).
   { job.Deliver(exchange) } -> std::same_as<void>;
   // The answer to store for retries.
   { job.AnswerToStore() } -> std::same_as<StoredAnswer>;
   // Whether the call is cancelled when its caller disconnects. If so:
-  // CancelRequest builds the request that ends it at the target, and
+  // CancelRequest builds the request that ends the call at the target, and
   // OnCancelled takes the usage from the reply.
   { J::kCancellable } -> std::convertible_to<bool>;
   { job.CancelRequest(address, RequestId()) } -> std::same_as<HttpRequest>;
   { job.OnCancelled(result) } -> std::same_as<void>;
-  // What a witness needs to determine the cost of this request.
+  // What a witness (ledger/witness.h) needs to determine the cost of this
+  // request.
   { job.MakeIntent(address, Bill()) } -> std::same_as<Intent>;
 };
 
--- a/router/json_check.h
+++ b/router/json_check.h
@@ -19,7 +19,8 @@
   std::string message;
 };
 
-// Empty if the text is valid JSON and has neither fault.
+// Returns a fault, or std::nullopt if the text is valid JSON and has neither
+// fault.
 std::optional<JsonFault> CheckJson(std::string_view text);
 
 }  // namespace quaytrack
--- a/router/ledger_codec.h
+++ b/router/ledger_codec.h
@@ -13,10 +13,10 @@
 
 namespace quaytrack {
 
-// The record that was read, or an empty one if its key doesn't exist.
+// Returns the record that was read, or an empty one if its key doesn't exist.
 ShardState ShardFromKv(int shard, const std::vector<EtcdItem>& found);
 
-// The transaction that writes a commit whose batch belongs to `writer`.
+// Returns the transaction that writes a commit whose batch belongs to `writer`.
 EtcdTxn TxnFor(const Incarnation& writer, const LedgerCommit& commit,
                std::int64_t marker_lease);
 
--- a/router/ledger_driver.cc
+++ b/router/ledger_driver.cc
@@ -113,7 +113,7 @@
   };
   on.broken = [this] {
     LogEvent(Event::kWatchRestarted, {{"prefix", keys::kNeedPrefix}});
-    // Changes during the interruption were missed.
+    // Changes during the interruption were missed, so all records are read.
     watch_retry_ = loop_.After(kWatchRetry, [this] {
       sync_.Refresh();
       StartWatch();
--- a/router/ledger_driver.h
+++ b/router/ledger_driver.h
@@ -3,12 +3,12 @@
 //   ledger.sync().Hold(now, request, budget, amount);
 //   ledger.Kick();                  // events reach the handler later
 //
-// It owns the LedgerSync, the timer that drives it, and a watch on the `need`
-// keys, by which other routers request that a record is read. A call without a
-// reply is reported as unknown. When the watch breaks it is restarted and all
-// records are read, as changes may have been missed. Loss and recovery of the
-// service are logged. It relies on the loop, the service's client and the
-// retention lease, which must outlive it.
+// LedgerDriver owns the LedgerSync, the timer that drives it, and a watch on
+// the `need` keys, by which other routers request that a record is read. A call
+// without a reply is reported as unknown. When the watch breaks, a new one is
+// started and all records are read, as changes may have been missed. Loss and
+// recovery of the service are logged. LedgerDriver relies on the loop, the
+// service's client and the retention lease, which must outlive it.
 
 #ifndef QUAYTRACK_ROUTER_LEDGER_DRIVER_H_
 #define QUAYTRACK_ROUTER_LEDGER_DRIVER_H_
--- a/router/load_poller.h
+++ b/router/load_poller.h
@@ -1,10 +1,11 @@
 // Polls engines for their load, so that the TargetTable accounts for the
-// requests that other routers have sent to them. Reports are always somewhat
-// outdated; the TargetTable takes their age into account.
+// requests that other routers have sent to the engines. Reports are always
+// somewhat outdated; the TargetTable takes their age into account.
 //
 // An engine that doesn't answer two polls in a row is frozen or unreachable. It
 // gets no new requests until it answers, and the callback `unresponsive` lets
-// requests that wait there for their first byte move to another target.
+// requests that wait for their first byte from the engine move to another
+// target.
 
 #ifndef QUAYTRACK_ROUTER_LOAD_POLLER_H_
 #define QUAYTRACK_ROUTER_LOAD_POLLER_H_
--- a/router/membership.cc
+++ b/router/membership.cc
@@ -52,7 +52,7 @@
   }
   kv_.KeepAlive(lease_, [this](const EtcdLeaseReply& it) {
     lease_call_pending_ = false;
-    // The registration was deleted with the expired lease.
+    // If the lease has expired, the registration was deleted with it.
     const bool expired = it.end == EtcdEnd::kOk && it.ttl == 0;
     if (!expired) return;
     lease_ = 0;
@@ -120,7 +120,7 @@
     }
     handlers_.changed();
   };
-  // The next read starts a new watch.
+  // If the watch breaks, the next read starts a new one.
   on.broken = [this] { loop_.Post([this] { watch_.reset(); }); };
   watch_ = kv_.StartWatch(keys::kRouterPrefix, revision, std::move(on));
 }
--- a/router/membership.h
+++ b/router/membership.h
@@ -5,8 +5,8 @@
 // are known from a watch on their keys, and from an occasional full read that
 // finds what the watch missed. The VM list is polled. Membership owns the
 // registry and the VM tracker (member/registry.h, member/vm_tracker.h), which
-// decide which routers are dead. A failed call leaves both unchanged. Loss and
-// recovery of the VM list are logged.
+// decide which routers are dead. A failed call leaves the registry and the
+// tracker unchanged. Loss and recovery of the VM list are logged.
 
 #ifndef QUAYTRACK_ROUTER_MEMBERSHIP_H_
 #define QUAYTRACK_ROUTER_MEMBERSHIP_H_
@@ -28,7 +28,7 @@
  public:
   struct Options {
     RouterEntry self;
-    // Empty if there is no VM list.
+    // Address of the VM list; empty if there is none.
     std::string vm_list_address;
     std::string vm_list_path = "/vms";
     Duration vm_poll = std::chrono::milliseconds(500);
--- a/router/metrics.cc
+++ b/router/metrics.cc
@@ -5,8 +5,8 @@
 namespace quaytrack {
 namespace {
 
-// Seconds. The buckets are dense around the latency goals: 0.87 s to the first
-// token, 29 ms between tokens.
+// Bucket boundaries in seconds. The buckets are dense around the latency goals:
+// 0.87 s to the first token, 29 ms between tokens.
 const prometheus::Histogram::BucketBoundaries kFirstTokenBuckets = {
     0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.6, 0.87, 1.2, 2, 5, 15, 60};
 const prometheus::Histogram::BucketBoundaries kBetweenBuckets = {
--- a/router/model_job.h
+++ b/router/model_job.h
@@ -47,7 +47,8 @@
   ModelCall call_;
   ModelSetting prices_;
   SseRelay relay_;
-  // Reused for each piece of the stream.
+  // Holds the piece of the stream that is being sent to the caller. One buffer
+  // serves all pieces.
   std::unique_ptr<evbuffer, void (*)(evbuffer*)> out_;
   std::optional<Usage> usage_;
   HttpResult answer_;
--- a/router/peer_codec.h
+++ b/router/peer_codec.h
@@ -27,7 +27,7 @@
   Incarnation owner;
 };
 
-// From the witness: the first `count` messages after the hello are stored.
+// Sent by the witness: the first `count` messages after the hello are stored.
 struct AckMessage {
   std::uint64_t count = 0;
 };
@@ -36,7 +36,7 @@
 
 std::string EncodePeerMessage(const PeerMessage& message);
 
-// Empty if `bytes` isn't a valid message.
+// Returns std::nullopt if `bytes` isn't a valid message.
 std::optional<PeerMessage> DecodePeerMessage(const std::string& bytes);
 
 }  // namespace quaytrack
--- a/router/peer_driver.h
+++ b/router/peer_driver.h
@@ -7,8 +7,8 @@
 // replaced if there is another one. As a witness it stores the messages of
 // owners and acknowledges each message once it is stored.
 //
-// It owns the links, the feed and the store. From an owner, a message that
-// can't be decoded or precedes the hello is logged and dropped.
+// PeerDriver owns the links, the feed and the store. From an owner, a message
+// that can't be decoded or precedes the hello is logged and dropped.
 
 #ifndef QUAYTRACK_ROUTER_PEER_DRIVER_H_
 #define QUAYTRACK_ROUTER_PEER_DRIVER_H_
@@ -29,18 +29,20 @@
 class PeerDriver {
  public:
   struct Handlers {
-    // The witness has copies of all open requests and bills of this router.
+    // Called when the witness has copies of all open requests and bills of this
+    // router.
     std::function<void(const Incarnation& witness)> caught_up;
-    // `witness` has stored the bill of `request`.
+    // Called when `witness` has stored the bill of `request`.
     std::function<void(const Incarnation& witness, const RequestId& request)>
         witnessed;
-    // The link to the witness has opened or closed.
+    // Called when the link to the witness has opened or closed.
     std::function<void(bool up)> link;
   };
 
   PeerDriver(Loop& loop, Incarnation self, Handlers handlers);
 
-  // Returns the bound port, or 0.
+  // Accepts links from owners at `address`. Returns the bound port, or 0 if
+  // binding fails.
   std::uint16_t Listen(const std::string& address);
 
   // Keeps the present witness while it is registered, otherwise chooses one.
--- a/router/recovery_driver.cc
+++ b/router/recovery_driver.cc
@@ -59,7 +59,8 @@
     if (!HoldsGrantsAnywhere(writer)) Recover(writer, {}, false);
     return;
   }
-  // A live witness recovers the grants itself; without one, no router can.
+  // A live witness recovers the grants itself; without one, they stay
+  // outstanding.
   const bool witness_is_alive =
       members_.registry().entries().contains(entry.witness);
   if (witness_is_alive) return;
@@ -113,7 +114,8 @@
   const bool never_ran =
       result.end == HttpEnd::kComplete && result.status == kNotFound;
   if (!never_ran) {
-    // Without a usage report the request may have run in full.
+    // Without a usage report the request may have run in full, so the bill has
+    // its worst-case cost.
     Bill bill = intent.worst_case;
     const auto usage = result.ok() ? UsageFromJson(result.body) : std::nullopt;
     if (usage) {
--- a/router/recovery_driver.h
+++ b/router/recovery_driver.h
@@ -4,7 +4,7 @@
 // is proven dead and has this router as its witness, it queries the targets for
 // the cost of the open requests and writes the recovery (ledger/recovery.h). A
 // writer without grants in any record needs no witness; any router may remove
-// it.
+// such a writer.
 
 #ifndef QUAYTRACK_ROUTER_RECOVERY_DRIVER_H_
 #define QUAYTRACK_ROUTER_RECOVERY_DRIVER_H_
--- a/router/refusal.h
+++ b/router/refusal.h
@@ -73,11 +73,12 @@
 // Earliest time after which a caller should retry. If the queue is full or too
 // long, the reply has the queue's estimate instead (route/wait_queue.h).
 //
-// A retry, here or at another router, may succeed immediately.
+// Time for refusals after which a retry, here or at another router, may succeed
+// immediately.
 inline constexpr Duration kShortRetryAfter = std::chrono::seconds(1);
-// This router is starting or stopping.
+// Time for refusals by a router that is starting or stopping.
 inline constexpr Duration kNotReadyRetryAfter = std::chrono::seconds(2);
-// The key-value service doesn't respond.
+// Time for refusals because the key-value service doesn't respond.
 inline constexpr Duration kOutageRetryAfter = std::chrono::seconds(5);
 
 struct Refusal {
@@ -89,10 +90,10 @@
   Duration retry_after{};
 };
 
-// The HTTP reply: a JSON body, and Retry-After in whole seconds.
+// Returns the HTTP reply, with a JSON body and Retry-After in whole seconds.
 HttpReply ReplyFor(const Refusal& refusal);
 
-// The same error as the last event of a stream that has started.
+// Returns the refusal as the last event of a stream that has started.
 std::string StreamErrorFor(const Refusal& refusal);
 
 }  // namespace quaytrack
--- a/router/request_basics.h
+++ b/router/request_basics.h
@@ -27,9 +27,11 @@
   Tokens worst_case = 0;
   Instant arrived{};
   Instant deadline{};
-  // The call may be sent again although an earlier attempt may have run.
+  // Whether the call may be sent again although an earlier attempt may have
+  // run.
   bool repeatable = true;
-  // The call must be claimed in the key-value service before it is sent.
+  // Whether the call must be claimed in the key-value service (claim/claim.h)
+  // before it is sent.
   bool needs_claim = false;
   // Digest of the call: path and body of a model call (set only if the caller
   // sent a key); method, paths and body of a service call.
--- a/router/request_budget.cc
+++ b/router/request_budget.cc
@@ -69,8 +69,9 @@
   return out;
 }
 
-// The caller's key identifies a retry at another router as the same request.
-// The digest ensures that two different calls with one key get separate bills.
+// Returns the id of the request's bill. The caller's key identifies a retry at
+// another router as the same request. The digest ensures that two different
+// calls with one key get separate bills.
 std::string RequestBudget::BillId() const {
   constexpr std::size_t kDigestDigits = 12;
   if (basics_.headers.key.empty()) return basics_.request.value;
@@ -78,7 +79,8 @@
          "/" + basics_.digest.substr(0, kDigestDigits);
 }
 
-// A claimed call runs at most once, so its bill needs no marker.
+// Returns the marker of the request's bill; empty if the caller sent no key, or
+// if the call is claimed, as it then runs at most once.
 std::string RequestBudget::Marker() const {
   if (basics_.headers.key.empty() || basics_.needs_claim) return "";
   return basics_.headers.customer.value + "/" + Sha256Hex(BillId());
--- a/router/request_budget.h
+++ b/router/request_budget.h
@@ -5,9 +5,10 @@
 //   budget.Hold();                       // kWaiting: an event follows
 //   const auto settled = budget.Settle(now, cost);  // or Release()
 //
-// It owns the information whether something is held. It relies on the context's
-// ledger driver, which reports events later, and on the basics; both must
-// outlive it. All amounts are prepaid tokens (base/ids.h).
+// RequestBudget owns the information whether something is held. It relies on
+// the context's ledger driver, which reports events later, and on the basics;
+// driver and basics must outlive the RequestBudget. All amounts are prepaid
+// tokens (base/ids.h).
 
 #ifndef QUAYTRACK_ROUTER_REQUEST_BUDGET_H_
 #define QUAYTRACK_ROUTER_REQUEST_BUDGET_H_
@@ -30,18 +31,21 @@
 
   // Holds the request's worst case.
   HoldOutcome Hold();
-  // The refusal that the caller gets.
+  // Returns the refusal that the caller gets if the hold is refused for
+  // `reason`.
   Refusal RefusalFor(HoldRefusal reason) const;
 
   // The result of settling a request.
   struct Settled {
-    // Its tokens are limited to the hold; 0 if the request was billed before.
+    // The bill's `tokens` are limited to the hold, and 0 if the request was
+    // billed before.
     Bill bill;
-    // Number of the batch with the bill; 0 if it was billed before.
+    // Number of the batch with the bill; 0 if the request was billed before.
     std::uint64_t seq = 0;
   };
   Settled Settle(Instant now, Tokens cost);
-  // Releases the hold or ends the wait for it; no effect if there is neither.
+  // Releases the hold or ends the wait for it. Has no effect if there is
+  // neither.
   void Release();
 
   Bill MakeBill(Tokens tokens) const;
--- a/router/request_claim.h
+++ b/router/request_claim.h
@@ -11,8 +11,9 @@
 //   claim.OnRan(stored_answer);    // or OnOutcomeUnknown, or Withdraw
 //   if (!claim.storing()) ...                     // its end is stored
 //
-// It owns the request's claim state. It relies on the context's claim driver,
-// which reports events later, and on the basics; both must outlive it.
+// RequestClaim owns the request's claim state. It relies on the context's claim
+// driver, which reports events later, and on the basics; driver and basics must
+// outlive the RequestClaim.
 
 #ifndef QUAYTRACK_ROUTER_REQUEST_CLAIM_H_
 #define QUAYTRACK_ROUTER_REQUEST_CLAIM_H_
@@ -31,24 +32,24 @@
   RequestClaim(RouterContext& context, const RequestBasics& basics)
       : context_(context), basics_(basics) {}
 
-  // Requests the claim. Empty if the claim is being written or another request
-  // of this router runs the call; an event follows.
+  // Requests the claim. Returns std::nullopt if the claim is being written or
+  // another request of this router runs the call; an event then follows.
   std::optional<ClaimAnswer> Begin();
 
-  // The refusal that the caller gets for any answer but kReplay.
+  // Returns the refusal that the caller gets for any answer but kReplay.
   Refusal RefusalFor(const ClaimAnswer& answer) const;
 
-  // The claim is stored; the call may be sent.
+  // Call when the claim is stored; the call may then be sent.
   void OnWon() { owned_ = true; }
 
   // Whether this request owns the claim.
   bool owned() const { return owned_; }
-  // The call has ended: OnRan with an answer, which is stored for retries,
-  // OnOutcomeUnknown without knowing whether it ran. Both start to store the
-  // end.
+  // Call one of these when the call has ended: OnRan with its answer, which is
+  // stored for retries, or OnOutcomeUnknown if the call may have run. Both
+  // functions start to store the claim's end.
   void OnRan(StoredAnswer stored_answer);
   void OnOutcomeUnknown();
-  // The call did not run.
+  // Gives up the claim, as the call did not run.
   void Withdraw();
 
   void OnStored() { storing_ = false; }
--- a/router/request_reader.cc
+++ b/router/request_reader.cc
@@ -90,7 +90,8 @@
                "X-Priority must be interactive, standard or batch");
 }
 
-// An integer within bounds, or the fallback if the field is absent.
+// Reads an integer within [low, high]; returns the fallback if the field is
+// absent.
 leaf::result<std::int64_t> ReadCount(const Json& json, const char* field,
                                      std::int64_t low, std::int64_t high,
                                      std::int64_t fallback) {
--- a/router/request_reader.h
+++ b/router/request_reader.h
@@ -42,10 +42,11 @@
   std::int64_t prompt_bytes = 0;
   // Hash of the start of the prompt, for prefix affinity; never 0.
   std::uint64_t prefix_hash = 1;
-  // The body for the engine: as sent, with max_tokens and usage filled in.
+  // The body for the engine: as the caller sent it, with max_tokens and usage
+  // filled in.
   std::string engine_body;
 
-  // Upper bound of the cost.
+  // Returns an upper bound of the cost.
   Tokens WorstCase(const ModelSetting& model_setting) const;
 };
 
@@ -54,9 +55,9 @@
   CustomerName customer;
   IdempotencyKey key;  // empty if none was sent
   PriorityClass priority = PriorityClass::kStandard;
-  // Relative to arrival; empty if none was sent.
+  // Deadline relative to the arrival; empty if none was sent.
   std::optional<std::chrono::milliseconds> deadline;
-  // The caller requires that this call isn't repeated.
+  // Whether the caller requires that this call isn't repeated.
   bool must_not_repeat = false;
 };
 
--- a/router/request_table.h
+++ b/router/request_table.h
@@ -2,8 +2,8 @@
 //
 //   requests.With(id, [](auto& it) { it.OnHoldGranted(); });
 //
-// It owns the requests. A request that has ended is removed by a posted
-// callback, not from within its own member functions
+// RequestTable owns the requests. A request that has ended is removed by a
+// posted callback, not from within its own member functions
 // (RouterContext::on_request_ended). Events for a request that has been removed
 // are ignored.
 
@@ -33,7 +33,8 @@
   void Remove(const RequestId& request) { requests_.erase(request); }
   std::size_t size() const { return requests_.size(); }
 
-  // Calls `visit` with the request; false if it has been removed.
+  // Calls `visit` with the request; returns false if the request has been
+  // removed.
   template <class Visit>
   bool With(const RequestId& request, Visit visit) {
     auto it = requests_.find(request);
--- a/router/router.cc
+++ b/router/router.cc
@@ -21,7 +21,8 @@
 constexpr Duration kEndRequestsTime = std::chrono::seconds(2);
 constexpr int kExitFenced = 75;
 
-// "<vm>@<start in ms>-<random>": unique even if the clock is set back.
+// Returns "<vm>@<start in ms>-<random>", which is unique even if the clock is
+// set back.
 Incarnation MakeIncarnation(const std::string& vm, const Clock& clock) {
   constexpr std::size_t kRandomBytes = 4;
   const auto ms = clock.WallNow().time_since_epoch().count();
--- a/router/router.h
+++ b/router/router.h
@@ -5,7 +5,7 @@
 //   loop.Run();                      // until a planned stop is over
 //   return router.exit_code();
 //
-// It owns the components, the wait queues and the target addresses, passes
+// Router owns the components, the wait queues and the target addresses, passes
 // events between the components, and follows chart/charts/drain.json in a
 // planned stop. A router that has been declared dead stops as well, with exit
 // code 75. It relies on the key-value service for all state that routers share;
--- a/router/service_job.h
+++ b/router/service_job.h
@@ -43,7 +43,8 @@
     return {};
   }
   void OnCancelled(const HttpResult&) {}
-  // A plain service can't report what it ran.
+  // A plain service can't be queried for the cost of a call, so the intent has
+  // no address and no token prices.
   Intent MakeIntent(const std::string&, Bill worst_case) const {
     return {std::move(worst_case), "", 0, 0};
   }
--- a/router/settings.h
+++ b/router/settings.h
@@ -2,10 +2,10 @@
 //
 // Settings that other processes share (identity, addresses, log) are in
 // net/process_settings.h; this file adds those of the router. RouterFlags has
-// the flags as given, RouterSettings the checked values; RouterValues has those
-// that are the same in both. All settings are checked before anything starts,
-// and every fault is reported with the flag, the value given and the values
-// allowed. Settings don't change while the process runs.
+// the flags as given, RouterSettings the checked values; RouterValues has the
+// settings that RouterFlags and RouterSettings share. All settings are checked
+// before anything starts, and every fault is reported with the flag, the value
+// given and the values allowed. Settings don't change while the process runs.
 //
 //   RouterFlags flags;
 //   AddRouterFlags(app, flags);
@@ -47,7 +47,7 @@
 
 struct RouterSettings : RouterValues, LogSettings {
   OperatorKeys operator_keys;
-  // For requests without a deadline.
+  // Deadline of requests that are sent without one.
   std::chrono::milliseconds default_deadline{};
   std::size_t max_body_bytes = 0;
   // Minimum interval between two ledger writes (ledger/sync.h).
--- a/router/sse_relay.cc
+++ b/router/sse_relay.cc
@@ -102,8 +102,9 @@
   return relayed;
 }
 
-// Moves the event to `out` and returns true, or holds it back as part of the
-// end of the answer.
+// Adds the event to `out` and returns true, or doesn't and returns false. An
+// event of the end of the answer is added to `tail_`, unless it has only the
+// usage and the caller didn't ask for the usage.
 bool SseRelay::RelayEvent(std::string_view event, evbuffer* out) {
   const std::string_view data = DataOf(event);
   if (data.starts_with(kDone)) {
--- a/router/sse_relay.h
+++ b/router/sse_relay.h
@@ -24,12 +24,12 @@
 };
 
 // Reads {"usage": {"prompt_tokens": .., "completion_tokens": ..}} from a body
-// or an event; empty if it is missing or invalid.
+// or an event; returns std::nullopt if the usage is missing or invalid.
 std::optional<Usage> UsageFromJson(std::string_view json);
 
 class SseRelay {
  public:
-  // `show_usage`: the caller asked for the usage event.
+  // `show_usage` tells whether the caller asked for the usage event.
   explicit SseRelay(bool show_usage) : show_usage_(show_usage) {}
 
   // Consumes all of `in` and moves what can be sent to the caller to `out`.
@@ -41,7 +41,7 @@
   const std::optional<Usage>& usage() const { return usage_; }
   // Number of events relayed; each has at least one token.
   std::int64_t events() const { return events_; }
-  // The held-back end of the stream, to be sent when the bill is safe.
+  // The end of the stream, to be sent when the bill is safe.
   const std::string& tail() const { return tail_; }
 
  private:
