--- a/relay/admission.h
+++ b/relay/admission.h
@@ -37,27 +37,28 @@
 namespace quaytrack {
 
 struct AdmissionInput {
-  // The current configuration; null before the first one.
+  // The current configuration; null before the router has read one.
   const ServiceMap* map = nullptr;
   const CallerDialect& dialect;
   const CallerRequest& request;
   // Uniform in [0, 1); selects one of the route's services.
   double draw = 0;
-  // PlannedStop::LatestDeadline (relay/planned_stop.h).
+  // The value of PlannedStop::LatestDeadline (relay/planned_stop.h).
   Instant latest_deadline = Instant::max();
 };
 
 struct Admission {
   RequestFacts facts;
-  // Owned by the configuration.
+  // The configuration owns the objects that `route` and `service` point to.
   const RouteRule* route = nullptr;
   const ServiceRule* service = nullptr;
-  // Empty on routes that need no key.
+  // The customer whose key the request has; empty on routes that need no key.
   CustomerName customer;
   int customer_priority = 0;
   // The latest time at which the final answer is sent.
   Instant deadline{};
-  // Upper bound of its cost in tokens; 0 for requests that no budget pays for.
+  // Upper bound of the request's cost in tokens; 0 for requests that no budget
+  // pays for.
   Tokens worst_case = 0;
   // Input to the choice of a target.
   PlacementRequest placement;
--- a/relay/attempt.cc
+++ b/relay/attempt.cc
@@ -17,8 +17,9 @@
 // 731,000 of 3.7M tokens on sends that it had itself given up.
 constexpr double kStreamTimeoutFactor = 2.6;
 
-// The same for the complete answer of other routes. Below 1, so that a second
-// target can still answer in time.
+// The timeout of the complete answer on other routes, as a multiple of
+// `RouteRule::target_latency`. The factor is below 1, so that a second target
+// can still answer in time.
 constexpr double kCallTimeoutFactor = 0.8;
 
 // The timeout of the next event, as a multiple of the longest pause that the
--- a/relay/attempt.h
+++ b/relay/attempt.h
@@ -35,15 +35,16 @@
 
 // --- Timeouts ----------------------------------------------------------------
 
-// From the send to the first useful byte of the answer's body: the first event
-// of a stream, or the end of any other answer. `left` is the time until the
-// request's deadline.
+// Returns the timeout from the send to the first useful byte of the answer's
+// body: the first event of a stream, or the end of any other answer. `left` is
+// the time until the request's deadline.
 Duration FirstAnswerTimeout(const RouteRule& route, Duration left);
 
-// From the send until the connection has opened and accepted a first byte.
+// Returns the timeout from the send until the connection has opened and
+// accepted a first byte.
 Duration ConnectTimeout(const RouteRule& route, Duration left);
 
-// From one event of a stream to the next.
+// Returns the timeout from one event of a stream to the next.
 Duration NextEventTimeout(const RouteRule& route);
 
 // --- Answers -----------------------------------------------------------------
@@ -53,7 +54,8 @@
 // counts only if it states that nothing has run.
 bool AnswersRequest(const AnswerFacts& answer, const RequestId& request);
 
-// Whether an answer with that status may be forwarded to the caller.
+// Whether an answer with `status` may be forwarded to the caller. `sealed`
+// states that its target vouches for it.
 inline bool MayForward(int status, bool sealed) {
   return sealed || !IsSuccess(status);
 }
@@ -63,13 +65,13 @@
   return kind == RouteKind::kStreaming && sealed && IsSuccess(status);
 }
 
-// The head that the caller receives: without hop-by-hop headers.
+// Returns the head that the caller receives: `head` without hop-by-hop headers.
 HttpHead HeadForCaller(const HttpHead& head);
 
 // What is known when the connection reports the end of a call.
 struct AttemptFacts {
   CallEnd end = CallEnd::kNotSent;
-  // From the answer's head, if it has arrived.
+  // The contents of the answer's head, if it has arrived.
   AnswerFacts answer;
   int status = 0;
   // The body ended within an event of a stream.
--- a/relay/budget_driver.cc
+++ b/relay/budget_driver.cc
@@ -81,7 +81,7 @@
   };
   out.hold = [this](const HoldWaiterPtr& it) {
     const PrepaidVerdict verdict = HoldFromGrant(it);
-    // Otherwise it waits.
+    // With kShort, the hold waits in `queue_`.
     if (verdict != PrepaidVerdict::kShort) Answer(*it, verdict);
   };
   out.forget = [this](const HoldWaiterPtr& it) { queue_.Remove(it); };
@@ -137,8 +137,8 @@
 
 PrepaidVerdict BudgetDriver::HoldLocallyOrRemotely(
     const HoldWaiterPtr& waiter) {
-  // Requests that arrive before the list of routers has settled don't wait for
-  // that.
+  // Requests that arrive before the list of routers has settled don't wait
+  // until it has.
   JoinIfHolder();
   if (ledger_.ActsAsHolder()) return HoldFromGrant(waiter);
   RequestFromHolders(waiter);
@@ -167,8 +167,8 @@
   StartWaitTimer();
 }
 
-// Posted, because the end of the waiter may change the list that is being
-// iterated over.
+// Answers the waiter from a separate callback of the loop, because the end of
+// the waiter may change the list that is being iterated over.
 void BudgetDriver::PostAnswer(const HoldWaiterPtr& waiter,
                               PrepaidVerdict verdict) {
   loop_.Post([waiter, verdict] { Answer(*waiter, verdict); });
@@ -186,7 +186,7 @@
     return SettleInGrant(request.customer(), request.worst_case(), cost);
   }
   remote_.Settle(clock_.Now(), request.id(), cost);
-  // The holder has to acknowledge the cost.
+  // The timer sends the cost again until the holder acknowledges it.
   StartWaitTimer();
 }
 
--- a/relay/budget_driver.h
+++ b/relay/budget_driver.h
@@ -1,5 +1,6 @@
 // BudgetDriver applies the prepaid budgets to the requests that this router
-// relays and to those of peers that keep no grants.
+// relays and to those of peers that keep no grants. A grant is the amount of a
+// budget that one router may spend.
 //
 //   switch (budgets.Hold(waiter)) {
 //     case PrepaidVerdict::kHeld:        // send it
@@ -10,7 +11,7 @@
 //   budgets.Settle(*waiter, cost);       // after it was held: its cost
 //
 // Every hold that was granted is settled exactly once, with 0 if nothing ran;
-// until then no other request can spend its worst case.
+// until then no other request can spend the tokens that it holds.
 //
 // This class only connects these parts:
 //   prepaid/prepaid_ledger.h   what this router may spend of each budget
@@ -55,13 +56,14 @@
   struct Handlers {
     // Sends a message to all linked peers.
     std::function<void(const PeerMessage&)> broadcast;
-    // Sends a message to one of them.
+    // Sends a message to one linked peer.
     std::function<void(const Incarnation&, const PeerMessage&)> send;
-    // The linked incarnation of a VM; empty if none is linked.
+    // The linked incarnation (run of the router's process) on a VM; empty if
+    // none is linked.
     std::function<Incarnation(const VmName&)> linked;
-    // The store was lost (false) or is back (true).
+    // Called when the store was lost (false) or is back (true).
     std::function<void(bool)> store_reachable;
-    // The store has answered a call.
+    // Called when the store has answered a call.
     std::function<void()> store_answered;
   };
 
@@ -69,34 +71,38 @@
                const FleetDirectory& fleet,
                const PrepaidLedger::Identity& identity, PrepaidPolicy policy);
 
-  // Before `Start`.
+  // Sets the handlers; call before `Start`.
   void SetHandlers(Handlers handlers) { on_ = std::move(handlers); }
   void Start();
   void SetConfig(const ServiceMap& map);
 
-  // The store has come back in a later era.
+  // Called when the store has come back in a later era (kv/store.h).
   void OnStoreEra() { store_.OnStoreEra(); }
   // Starts to keep grants if the list of routers makes this router a holder.
   void JoinIfHolder();
-  // The list of routers was read; requests that waited for it continue.
+  // Called once the list of routers was read: requests that waited for the list
+  // continue.
   void OnFleetRead();
 
-  // kShort: the request waits; `OnHeld` or `OnHoldRefused` follows.
+  // Holds the request's worst case. Returns kShort if the request waits; its
+  // `OnHeld` or `OnHoldRefused` is then called later.
   PrepaidVerdict Hold(const HoldWaiterPtr& request);
   // Cancels a waiting request; it gets no answer.
   void Forget(const HoldWaiterPtr& request);
-  // `cost`: the tokens of the answer.
+  // Ends the request's hold and charges `cost` (relay/request_cost.h).
   void Settle(const HoldWaiter& request, Tokens cost);
 
   void OnPeer(const PeerMessage& message);
   void OnPeerLost(const Incarnation& peer);
 
-  // From now on, peers that request holds are sent on to other holders.
+  // From now on, refers peers that request holds to other holders.
   void StopServing() { served_.Stop(); }
-  // Returns the unspent grants to the store; `HasLeft` follows.
+  // Starts to return the unspent grants to the store; `HasLeft` shows when this
+  // is done.
   void StartLeaving();
-  // Whether this process may end without loss to the budgets: the store has its
-  // grants, and the holders that it used know the costs of its holds.
+  // Whether this process may end without loss to the budgets: the store has
+  // this router's unspent grants, and the holders that it used know the costs
+  // of its holds.
   bool HasLeft() const { return ledger_.HasLeft() && remote_.Idle(); }
   const PrepaidLedger& ledger() const { return ledger_; }
 
--- a/relay/config_follower.cc
+++ b/relay/config_follower.cc
@@ -102,7 +102,8 @@
   });
 }
 
-// An item that can't be read doesn't withdraw the order before it.
+// Applies a change of an item to the orders. An item that can't be read doesn't
+// withdraw the service's previous order.
 void ConfigFollower::ApplyOrder(const StoreChange& change) {
   const auto service = reader_.RolledOutService(change.item.key);
   if (!service) return;
@@ -124,7 +125,7 @@
 // --- The configuration -------------------------------------------------------
 
 void ConfigFollower::AdoptIfHigher(const StoreItem& item, Source source) {
-  // Null for an item that is not the configuration.
+  // `next` is null if the item isn't the configuration or can't be read.
   const ServiceMapPtr next = ReadOrLog(item, [&] {
                                return reader_.Config(item);
                              }).value_or(ServiceMapPtr());
--- a/relay/config_follower.h
+++ b/relay/config_follower.h
@@ -9,8 +9,8 @@
 // Adoption. A configuration is adopted only if its version is higher than the
 // one in force, whether it comes from the store's answer to a wait, a full read
 // or a peer. So a store that is behind, an operator's older write or a peer
-// that was cut off can't revert it. A configuration that can't be read is
-// refused and logged, and the one in force stays.
+// that was cut off can't revert the configuration in force. A configuration
+// that can't be read is refused and logged, and the one in force stays.
 //
 // Requests to peers. Each heartbeat of a peer (relay/peer_mesh.h, one a second)
 // carries the version that the peer has in force. A router that receives a
@@ -26,13 +26,13 @@
 // before that configuration does: a router that starts while a hall is closed
 // isn't ready before it knows.
 //
-// A store that comes back from an older copy of itself shows an older
-// configuration, which isn't adopted, and the halls as they were. Its state of
-// halls that are known here takes effect only `kRewriteTime` later, as
-// operators write again what was lost.
+// A store that comes back from an older copy of itself, in a later era
+// (kv/store.h), shows an older configuration, which isn't adopted, and the
+// halls as they were. Its state of halls that are known here takes effect only
+// `kRewriteTime` later, as operators write again what was lost.
 //
 // In a large fleet most routers don't follow the store but receive updates from
-// readers (relay/state_feed.h); the same rules apply to those.
+// readers (relay/state_feed.h); the rules above apply to these updates as well.
 //
 // It owns the configuration in force and the feed of the store's prefix. It
 // uses `SharedStateReader` to read items, and its handlers to reach peers.
@@ -60,23 +60,25 @@
 
 class ConfigFollower {
  public:
-  // Time after the first read of a later era. Operators write again within some
-  // seconds what the store has lost.
+  // Time from the first read of a later era until the store's halls and orders
+  // replace those known from before. Operators write again within some seconds
+  // what the store has lost.
   static constexpr Duration kRewriteTime = std::chrono::seconds(10);
 
   struct Handlers {
-    // Another configuration is in force: the first one, or a higher version.
+    // Called when a configuration was adopted: the first one, or one of a
+    // higher version.
     std::function<void()> adopted;
     // Sends a message to one peer.
     std::function<void(const Incarnation&, PeerMessage)> send;
-    // The store was lost (false) or is back (true).
+    // Called when the store was lost (false) or is back (true).
     std::function<void(bool)> store_reachable;
-    // The feed's access to the fleet; unused in a small one.
+    // The feed's access to the fleet; unused in a small fleet.
     FeedLinks feed = {};
-    // A hall was closed or reopened.
+    // Called when a hall was closed or reopened.
     std::function<void()> halls_changed = [] {};
-    // A service has been ordered to move to another version; null if the order
-    // was withdrawn.
+    // Called when a service was ordered to move to another version; the order
+    // is null if it was withdrawn.
     std::function<void(const ServiceName&, const RolloutOrder*)>
         rollout_ordered = [](const ServiceName&, const RolloutOrder*) {};
   };
@@ -86,8 +88,8 @@
 
   void Start() { feed_.Start(); }
   void OnPeer(const PeerMessage& message);
-  // The store is back; a wait that was open during the outage may never be
-  // answered.
+  // Starts a new wait for changes when the store is back, as a wait that was
+  // open during the outage may never be answered.
   void RestartStoreWait() { feed_.RestartWait(); }
   StateFeed& feed() { return feed_; }
 
@@ -126,7 +128,7 @@
   std::unique_ptr<Timer> request_timer_;
   // Runs while the state of the halls differs from the store's.
   std::unique_ptr<Timer> stored_halls_timer_;
-  // The same for orders.
+  // Runs while orders are kept that the store no longer shows.
   std::unique_ptr<Timer> carried_orders_timer_;
 };
 
--- a/relay/crash_watch.cc
+++ b/relay/crash_watch.cc
@@ -16,18 +16,21 @@
 // How long a router of a large fleet waits for a reader's heartbeat before it
 // follows the crash reports itself. It exceeds the longest usual cuts from the
 // store, 9 s: in one such cut 280 routers each lost their readers' heartbeats,
-// and called the store for this as well, which made 1,700 to 2,700 more calls a
-// day. Peers send each other crashes at once, whatever the store does.
+// and called the store for the crash reports as well, which made 1,700 to 2,700
+// more calls in a simulation of a day. Peers send each other crashes at once,
+// whatever the store does.
 constexpr Duration kReaderTimeout = std::chrono::seconds(10);
 
-// How long a target may take to accept a connection before it counts as ended.
-// A dead port refuses at once, a dead machine doesn't answer.
+// Time within which a target must accept a connection; otherwise the target
+// counts as ended. A port without a listener refuses at once, but a machine
+// that is down doesn't answer.
 constexpr Duration kProbeTimeout = milliseconds(400);
 
-// From a report to its write, so that the reports of one crash share a write.
+// Delay from a report to its write, so that the reports of one crash share a
+// write.
 constexpr Duration kWriteDelay = milliseconds(20);
-// Between two writes of one router, also after a failed one. Ten routers that
-// see a crash each 200 ms make 40 writes a second.
+// Interval between two writes of one router, also after a failed write. Ten
+// routers that see a crash each 200 ms make 40 writes a second.
 constexpr Duration kWriteInterval = milliseconds(200);
 
 template <class Report>
@@ -70,7 +73,8 @@
     if (!it.removed) AddStoredReports(it.item);
   };
   on.settled = [] {};
-  // The feeds of the configuration and the targets report reachability.
+  // Ignored here: the feeds of the configuration and the targets report whether
+  // the store is reachable.
   on.reachable = [](bool) {};
   return on;
 }
@@ -309,7 +313,8 @@
   if (!write_ && !write_timer_) WriteAfter(kWriteDelay);
 }
 
-// Reports of an earlier process on this VM stay in the store.
+// Adds the reports that an earlier process on this VM left in the store to this
+// router's reports, so that the next write keeps them.
 void CrashWatch::MergeStoredReports(const CrashReports& stored) {
   AddReports(stored);
   for (const CrashReport& it : stored.crashes)
--- a/relay/crash_watch.h
+++ b/relay/crash_watch.h
@@ -8,10 +8,10 @@
 //   crashes.OnRan(fingerprint);                 // if `HasReports`
 //   crashes.OnPeer(message);                    // each message of a peer
 //
-// Without it, one request that was retried took all engines of a service,
-// twelve within three seconds, and again as each came back: a router sent it to
-// two engines each time, and each retry by its caller was a new request, often
-// at another router.
+// Without CrashWatch, one request that was retried crashed all engines of a
+// service, twelve within three seconds, and each again when it was back: a
+// router sent it to two engines each time, and each retry by its caller was a
+// new request, often at another router.
 //
 // What counts as a crash. A target left the request without an answer, or with
 // only the start of one (`HasPassedStartPhase`); the target was listed and not
@@ -23,14 +23,14 @@
 // request that has run past its start phase at any target.
 //
 // Detecting the end. A target has ended if a connection to it is refused or
-// doesn't open, or if the list of targets shows another start under its name,
-// or lacks its entry without an announcement that it leaves. Several
-// connections are attempted (`kProbeDelays`), since a port may stay open for a
-// while after its target has failed. The list reveals targets that restarted
-// before a probe, and those that hang for good. Unanswered attempts are
-// remembered for `kRememberFor`, until the list shows the end. Attempts whose
-// caller left, or that timed out, are remembered too, as their requests may be
-// what ends the target.
+// doesn't open, or if the list of targets shows its name with another start,
+// that is, with a later run of its process (TargetStart), or lacks its entry
+// without an announcement that it leaves. Several connections are attempted
+// (`kProbeDelays`), since a port may stay open for a while after its target has
+// failed. The list reveals targets that restarted before a probe, and those
+// that hang for good. Unanswered attempts are remembered for `kRememberFor`,
+// until the list shows the end. Attempts whose caller left, or that timed out,
+// are remembered too, as their requests may be what ends the target.
 //
 // Distribution. Each router keeps its reports under its own key in the store,
 // and follows the reports of all routers (relay/state_feed.h). So a report
@@ -45,7 +45,7 @@
 // whose answer is lost is repeated on top of what the store has then.
 //
 // Memory and messages are bounded by CrashReports::kMaxPerList for what a
-// router reports, by CrashBlame::kMostRequests for what it knows, and by one
+// router reports, by CrashBlame::kMaxRequests for what it knows, and by one
 // write in `kWriteInterval`.
 //
 // It owns its reports, the feed and the running probes of targets. Reports that
@@ -79,7 +79,8 @@
   RequestId id;
   Fingerprint request;
   TargetEntry target;
-  // Since the start of its answer, or since its send if there was no answer.
+  // Time since the start of the answer, or since the send if there was no
+  // answer.
   Duration running_for{};
 };
 
@@ -88,28 +89,30 @@
   struct Handlers {
     // Sends a message to all linked peers.
     std::function<void(PeerMessage)> broadcast;
-    // Whether a target may receive work: it is listed with that start, and
-    // nothing keeps work from it (`Placement::IsOpenToWork`).
+    // Whether a target may receive work: it is listed with the start of the
+    // given entry, and nothing keeps work from it (`Placement::IsOpenToWork`).
     std::function<bool(const TargetEntry&)> is_open_to_work;
-    // The feed's links to the fleet; unused in a small one.
+    // The feed's links to the fleet; unused in a small fleet.
     FeedLinks feed = {};
   };
 
   // Times of the connection attempts to a target, from the loss of an attempt.
-  // A dead port refuses the first; the others are for ports that close later.
+  // A port without a listener refuses the first attempt; the later attempts are
+  // for ports that close later.
   static constexpr std::array<Duration, 3> kProbeDelays{
       std::chrono::milliseconds(0), std::chrono::milliseconds(150),
       std::chrono::milliseconds(600)};
-  // How long an unanswered attempt may still be reported: until the list of
-  // targets has shown an end.
+  // How long an unanswered attempt is remembered, so that it can be reported
+  // when the list of targets shows that its target has ended.
   static constexpr Duration kRememberFor = kMaxEntryDelay;
-  // Attempts that are remembered for each target; the oldest is dropped beyond
-  // that. A router has fewer running at one target.
+  // Maximum number of attempts remembered for each start of a target; beyond
+  // it, the oldest is dropped. A router has fewer attempts running at one
+  // target.
   static constexpr std::size_t kMaxRemembered = 64;
 
-  // The start phase of a stream, from its first event. The requests that
-  // crashed engines did so before a first event, after 0.01 to 0.11 s; this
-  // covers requests that need some tokens for it.
+  // Length of a stream's start phase, from its first event. The requests that
+  // crashed engines did so before a first event, after 0.01 to 0.11 s; the
+  // start phase also covers requests that crash an engine after some tokens.
   static constexpr Duration kStartPhase = std::chrono::milliseconds(300);
 
   // Whether a request has run long enough to rule out that it crashes its
@@ -127,19 +130,22 @@
     has_readers ? feed_.StartFromReaders() : feed_.Start();
   }
   void OnPeer(const PeerMessage& message);
-  // The connection of an attempt to a target broke. The report, if any, is made
-  // later, as the target is probed first.
+  // Called when the connection of an attempt to a target broke. The report, if
+  // any, is made later, as the target is probed first.
   void OnLost(const LostAttempt& attempt);
-  // An attempt was stopped by this router or its caller, without an answer.
+  // Called when this router or the caller stopped an attempt that had no
+  // answer.
   void OnStopped(const LostAttempt& attempt);
-  // The list of targets shows that a start has ended, and not as planned.
+  // Called when the list of targets shows that a run of a target's process has
+  // ended, and not as planned.
   void OnEnded(const TargetStart& target);
-  // A request ran to its end at a target, or past its start phase.
+  // Called when a request ran to its end at a target, or past its start phase.
   void OnRan(const Fingerprint& request);
-  // The store has come back in a later era, and may have lost this router's
-  // writes.
+  // Called when the store has come back in a later era (kv/store.h), and may
+  // have lost this router's writes.
   void OnStoreEra();
-  // Drops expired reports; called several times a second.
+  // Drops expired reports and remembered attempts, and logs which requests are
+  // newly blamed or no longer so; called several times a second.
   void Check();
 
   // Whether any request has a report. If not, no fingerprint needs to be
@@ -162,7 +168,7 @@
   // A target that is being probed.
   struct Probe {
     TargetEntry target;
-    // Index in `kProbeDelays`.
+    // Index in `kProbeDelays` of the present or next connection attempt.
     std::size_t step = 0;
     std::shared_ptr<TcpSocket> socket;
     std::unique_ptr<Timer> timer;
@@ -209,7 +215,7 @@
   // Revision of this router's item in the store; 0 if there is none.
   StoreRevision local_revision_;
   KvStore::CallPtr write_;
-  // Delays a write, and runs for a while after one.
+  // Runs until the next write may be made.
   std::unique_ptr<Timer> write_timer_;
 };
 
--- a/relay/dialect.h
+++ b/relay/dialect.h
@@ -71,7 +71,8 @@
   bool not_run = false;
   // The target vouches for this answer.
   bool sealed = false;
-  // How much longer the target is slow; 0 if not stated.
+  // How much longer the target is cold, that is, slow after its start; 0 if not
+  // stated.
   std::chrono::milliseconds cold_for{0};
   // The target's rate limit, as stated in the head.
   RateStatement rate;
@@ -85,7 +86,7 @@
 class CallerDialect {
  public:
   virtual ~CallerDialect() = default;
-  // The error names the header that can't be read.
+  // Reads a request's head. The error names the header that can't be read.
   virtual boost::leaf::result<RequestFacts> Read(
       const HttpHead& head) const = 0;
 };
@@ -98,7 +99,7 @@
 class TargetDialect {
  public:
   virtual ~TargetDialect() = default;
-  // The head to send, including the empty line.
+  // Returns the head to send, including the empty line at its end.
   virtual std::string Head(const HttpHead& request, const SendFacts& facts,
                            std::size_t body_bytes) const = 0;
   virtual AnswerFacts Read(const HttpHead& head) const = 0;
@@ -124,7 +125,7 @@
   virtual ~SharedStateReader() = default;
   virtual std::string ConfigPrefix() const = 0;
   virtual std::string TargetsPrefix() const = 0;
-  // Null for an item that is not the configuration.
+  // Reads the configuration; returns null if the item isn't the configuration.
   virtual boost::leaf::result<ServiceMapPtr> Config(
       const StoreItem& item) const = 0;
   virtual boost::leaf::result<TargetEntry> Target(
--- a/relay/events.h
+++ b/relay/events.h
@@ -37,19 +37,19 @@
 struct StreamEvents {
   std::string bytes;
   int count = 0;
-  // An event doesn't follow the one before it. `bytes` is empty then, and omits
-  // also the earlier events of the same `Take`.
+  // An event's id skips a number. `bytes` is then empty, and omits also the
+  // earlier events of the same `Take`.
   bool out_of_order = false;
 };
 
 class EventReader {
  public:
-  // Appends received bytes, and returns the events that they complete: all of
-  // them, or none if one was skipped. The caller must forward what is returned,
-  // as `last_id` counts it.
+  // Appends received bytes, and returns the events that these complete: all of
+  // them, or none if an event was skipped. The caller must forward the returned
+  // events, as `last_id` counts them.
   StreamEvents Take(std::string_view bytes);
 
-  // Part of an event has arrived.
+  // Whether part of an event has arrived.
   bool InEvent() const { return !partial_.empty(); }
   // Drops the incomplete event, when another target continues.
   void DropPartial() { partial_.clear(); }
@@ -68,7 +68,7 @@
     return *id <= *last ? Order::kRepeated : Order::kSkips;
   }
 
-  // The number in the first `id:` line that has one.
+  // Returns the number in the first `id:` line that has a number.
   static EventId IdOf(std::string_view event) {
     constexpr std::string_view kField = "id:";
     std::size_t at = 0;
--- a/relay/feed_chart.h
+++ b/relay/feed_chart.h
@@ -19,7 +19,7 @@
 
 enum class FeedState { kReading, kNotified, kReader };
 enum class FeedEvent {
-  kReaderCurrent,  // a reader was current just now, and its state is known here
+  kReaderCurrent,  // a reader has shown that this router is current
   kStale,          // no reader was current for a while
   kChosen,         // the list of routers makes this one a reader
   kResigned,       // this router is no longer a reader
--- a/relay/feed_news.h
+++ b/relay/feed_news.h
@@ -61,8 +61,8 @@
   StoreRevision since;
   StoreRevision revision;
   Duration age{};
-  // There are changes, too large to be sent without a request; `changes` is
-  // empty.
+  // There are changes that are too large to be sent without a request;
+  // `changes` is empty.
   bool only_notice = false;
   // kStateRequest: the sender accepts pages. Older builds don't, and are sent
   // all items at once.
--- a/relay/feed_pages.cc
+++ b/relay/feed_pages.cc
@@ -64,8 +64,8 @@
     out.push_back({{key, "", revision}, true});
   }
   for (const StoreChange& it : out) Apply(it);
-  // An item that was written and removed between the two readings left no
-  // removal.
+  // An item that was written and removed between the two reads is not in
+  // `removed_`, so `removed_` is complete only for later revisions.
   removals_since_ = revision;
   return out;
 }
@@ -144,7 +144,8 @@
   return page.more ? PageStep::kMorePages : PageStep::kComplete;
 }
 
-// Readers have no further page of an era that has ended.
+// Drops the received pages if they are of an earlier era than `page`, as
+// readers have no further pages of that era.
 void FeedPageAssembler::DropIfOfEarlierEra(const FeedUpdate& page) {
   if (partial_ && partial_->revision.era < page.revision.era) Drop();
 }
--- a/relay/feed_pages.h
+++ b/relay/feed_pages.h
@@ -63,7 +63,8 @@
 
   // The page that answers `wanted`, as of `revision`. Its `since` and `after`
   // differ from those of `wanted` if all items have to be sent instead.
-  // std::nullopt if the requester already knows `revision` or a later one.
+  // Returns std::nullopt if the requester already knows `revision` or a later
+  // one.
   std::optional<FeedUpdate> PageFor(const FeedUpdate& wanted,
                                     StoreRevision revision) const;
 
@@ -80,7 +81,7 @@
   std::map<std::string, StoreItem> items_;
   // Bytes of keys and values.
   std::size_t bytes_ = 0;
-  // In order of revision.
+  // The latest removals, in order of revision.
   std::deque<Removal> removed_;
   // `removed_` holds every removal after this revision.
   StoreRevision removals_since_;
@@ -102,7 +103,7 @@
   PageStep AddPage(const FeedUpdate& page);
   // The complete answer, after kComplete: all changes, `since` and `revision`.
   FeedUpdate Finish();
-  // Some pages have been received, and more are to follow.
+  // Whether some pages have been received, and more are to follow.
   bool IsInProgress() const { return partial_.has_value(); }
   void Drop() { partial_.reset(); }
 
--- a/relay/final_answer.h
+++ b/relay/final_answer.h
@@ -28,7 +28,7 @@
 
 namespace quaytrack {
 
-// Why a request ended; named in the log and the metrics.
+// Why a request ended. The log and the metrics name this cause.
 enum class RelayCause {
   kServed,
   kTargetError,  // an error from the target, forwarded
--- a/relay/fingerprint.h
+++ b/relay/fingerprint.h
@@ -10,9 +10,10 @@
 // by another's. Requests that need no key have no customer; among them the same
 // path and body are the same request, whoever sends them.
 //
-// It is 128 bits of SHA-256, so that no caller can find a request with another
-// one's fingerprint. Computing it takes about 1 ms for each megabyte of body,
-// so it is computed only where it is needed (relay/crash_watch.h).
+// A fingerprint is 128 bits of SHA-256, so that no caller can find a request
+// with another one's fingerprint. Computing it takes about 1 ms for each
+// megabyte of body, so it is computed only where it is needed
+// (relay/crash_watch.h).
 
 #ifndef QUAYTRACK_RELAY_FINGERPRINT_H_
 #define QUAYTRACK_RELAY_FINGERPRINT_H_
--- a/relay/fleet_driver.cc
+++ b/relay/fleet_driver.cc
@@ -21,8 +21,8 @@
 // The maximum where readers send the number of routers: the read then only has
 // to find an entry that was replaced.
 constexpr Duration kMaxIntervalWithReaders = milliseconds(60000);
-// Minimum time between two reads because of a differing number, and the delay
-// from the heartbeat with that number to the read.
+// Minimum time between two reads because of a differing number of routers, and
+// the delay from the heartbeat with that number to the read.
 constexpr Duration kMinCountReadInterval = milliseconds(5000);
 constexpr Duration kCountReadDelay = milliseconds(500);
 // Delay from a failed call to the next try.
@@ -112,7 +112,8 @@
   RunLater(kCountReadDelay + DrawSpread(), &FleetDriver::ReadEntries);
 }
 
-// This router's entry may be that of an earlier run, at another address.
+// Returns the members without this router, whose entry may be that of an
+// earlier run, at another address.
 std::vector<FleetMember> FleetDriver::OtherMembers(
     const StoreSnapshot& snapshot) const {
   std::vector<FleetMember> out;
@@ -132,7 +133,8 @@
                        [this, step] { (this->*step)(); });
 }
 
-// Delayed, as all routers see the new era at about the same time.
+// Writes this router's entry again after a delay, as all routers see the new
+// era at about the same time.
 void FleetDriver::OnStoreEra() {
   call_.reset();
   RunLater(kRetryAfter, &FleetDriver::WriteEntry);
--- a/relay/fleet_driver.h
+++ b/relay/fleet_driver.h
@@ -26,8 +26,9 @@
 // grows with both (`ReadingSpread`): together they take the same share of the
 // store's link in a fleet of any size.
 //
-// A store that comes back from an older copy of itself may lack this router's
-// entry, or have that of an earlier run; the entry is then written again.
+// A store that comes back from an older copy of itself, in a later era, may
+// lack this router's entry, or have that of an earlier run; the entry is then
+// written again.
 //
 // It owns the directory. Calls to the store that fail are retried after
 // `kRetryAfter`, without limit; writing the entry twice does no harm. An entry
@@ -61,8 +62,8 @@
   FleetDriver(Loop& loop, KvStore& store, FleetMember self,
               FleetOptions options);
 
-  // Sets a callback for when the list has changed, and once when it has
-  // settled.
+  // Sets a callback for when the list has changed, and once when it has settled
+  // (`settled`).
   void OnChanged(std::function<void()> changed) {
     changed_ = std::move(changed);
   }
@@ -74,13 +75,13 @@
   // Sets where peers reach this router, "host:port"; call before `Start`.
   void SetAddress(const std::string& address);
   void Start() { WriteEntry(); }
-  // A router has sent its name and address.
+  // Called when a router has sent its name and address.
   void OnHello(const FleetMember& member);
-  // A reader's heartbeat says that it knows `routers` routers. Not called at
-  // readers.
+  // Called when a reader's heartbeat states that the reader knows `routers`
+  // routers. Not called at readers.
   void OnReaderCounts(std::size_t routers);
 
-  // The store has come back in a later era.
+  // Called when the store has come back in a later era (kv/store.h).
   void OnStoreEra();
 
   const FleetDirectory& directory() const { return directory_; }
@@ -110,8 +111,8 @@
   // Interval from the next read to the one after it.
   Duration interval_;
   Duration max_interval_;
-  // Runs while the list was read too recently to be read for a differing
-  // number.
+  // Runs while the last read of the list is too recent for another one because
+  // of a differing number of routers.
   std::unique_ptr<Timer> recent_timer_;
   std::minstd_rand random_{std::random_device{}()};
   KvStore::CallPtr call_;
--- a/relay/grant_transfers.h
+++ b/relay/grant_transfers.h
@@ -1,6 +1,6 @@
-// GrantTransfers passes unused grant between routers without the store, as
-// transfers of rights between replicas (escrow: O'Neil 1986; bounded counters:
-// Balegas et al. 2015).
+// GrantTransfers passes unused grant, tokens of a budget that one router may
+// spend, between routers without the store, as transfers of rights between
+// replicas (escrow: O'Neil 1986; bounded counters: Balegas et al. 2015).
 //
 //   transfers.CountHold(now, customer, worst_case);           // each hold
 //   transfers.RequestFromPeers(now, customer, waiting, all);  // too little
@@ -39,7 +39,7 @@
 class GrantTransfers {
  public:
   struct Handlers {
-    // Send a message to all linked peers, and to one of them.
+    // Sends a message to all linked peers, or to one linked peer.
     std::function<void(const PeerMessage&)> broadcast;
     std::function<void(const Incarnation&, const PeerMessage&)> send;
   };
--- a/relay/hold_patience.h
+++ b/relay/hold_patience.h
@@ -12,24 +12,24 @@
 //   after `give_up_after`   refuses the request with 503 and a Retry-After. If
 //                           the router has left the budgets, or a later process
 //                           of its VM has replaced it, it refuses at the next
-//                           tick: no more tokens will arrive, and a caller that
-//                           learns it 150 ms sooner may be served elsewhere.
+//                           check: no more tokens will arrive, and a caller
+//                           that learns it 150 ms sooner may be served
+//                           elsewhere.
 //
 // A router that keeps none (relay/remote_holds.h):
 //   at once                 asks the first holder
 //   after `holder_timeout`  asks the next holder; at once if the link to the
 //                           holder breaks or the holder refers the router to
 //                           another one
-//   when none is left       refuses the request with 503 and a Retry-After;
-//   also
-//                           after `ask_holders_until`, when no further holder
-//                           is asked
+//   when none is left       refuses the request with 503 and a Retry-After,
+//                           also if the next holder would be asked later than
+//                           `ask_holders_until`
 //
 // Each holder has the full `holder_timeout`, since it may let the hold wait for
 // `give_up_after`. So the wait ends after 400 ms if two holders are silent, and
 // after 500 ms at the latest. A holder's refusal ends the wait, as the holder
 // has asked its own peers by then; no second holder is asked. Without any
-// linked holder the request is refused at the next tick.
+// linked holder the request is refused at the next check.
 //
 // Before this router has read the list of routers, which names the holders, a
 // request waits for the list up to `give_up_after`.
--- a/relay/hold_queue.cc
+++ b/relay/hold_queue.cc
@@ -51,9 +51,10 @@
   RefuseExhausted(now, customer, list);
 }
 
-// A budget that can hold an amount can hold every smaller one, so the ledger is
-// queried only for amounts larger than all before them: for n waiters in random
-// order, about ln n times.
+// Refuses the requests that the budget can never hold. A budget that can hold
+// an amount can hold every smaller one, so the ledger is queried only for
+// amounts larger than all before them: for n waiters in random order, about ln
+// n times.
 void HoldQueue::RefuseExhausted(Instant now, const CustomerName& customer,
                                 WaitingList& list) {
   Tokens fits = 0;
@@ -68,8 +69,8 @@
   if (n > 0) UpdateLedger(customer, list);
 }
 
-// Holds nothing: `Hold` is called only with an amount beyond the allowance,
-// which the ledger refuses.
+// Whether the budget can never hold the request. This holds nothing: `Hold` is
+// called only with an amount beyond the allowance, which the ledger refuses.
 bool HoldQueue::ExceedsBudget(Instant now, const HoldWaiter& waiter) {
   const CustomerName& customer = waiter.customer();
   const Tokens amount = waiter.worst_case();
@@ -103,8 +104,9 @@
   }
 }
 
-// A router that was replaced or has left the budgets gets no tokens from the
-// store or from peers.
+// Whether the request is to be refused: it has waited too long, or it waits in
+// vain, as a router that was replaced or has left the budgets gets no tokens
+// from the store or from peers.
 bool HoldQueue::HasExpired(Instant now, const Waiting& it) const {
   const bool no_tokens = ledger_.Fenced() || ledger_.HasLeft();
   return no_tokens || now - it.since >= kTimeouts.give_up_after;
--- a/relay/hold_queue.h
+++ b/relay/hold_queue.h
@@ -1,5 +1,5 @@
-// HoldQueue keeps the requests that wait until this router's grant is large
-// enough.
+// HoldQueue keeps the requests that wait until this router's grant, the tokens
+// of a budget that it may spend, is large enough.
 //
 //   if (queue.HoldOrWait(now, waiter) == PrepaidVerdict::kShort) {
 //     // It waits; `answer` is called once, unless it is removed.
@@ -9,11 +9,11 @@
 //                                           // any request waits
 //
 // Each customer has its own list, which is first come, first served: a later
-// request doesn't overtake one that waits, or large requests would starve
-// beside a stream of small ones. Once the first has left or was refused, the
-// next is held, if the grant allows it, at the next `Expire`: at most 10 ms
-// later (`check_every`), while requests are refused after 160 ms. The ledger is
-// given the sum that waits, and sizes its next write by it.
+// request doesn't overtake one that waits, or large requests would starve while
+// small ones keep arriving. Once the first has left or was refused, the next is
+// held, if the grant allows it, at the next `Expire`: at most 10 ms later
+// (`check_every`), while requests are refused after 160 ms. The ledger is given
+// the sum that waits, and sizes its next write by it.
 //
 // A request that the budget can never hold doesn't wait, wherever it is in the
 // list. It is refused when it arrives, or when a lower limit or later spending
@@ -65,16 +65,16 @@
   // Holds what the ledger now allows, and refuses what the budget can never
   // hold.
   void Serve(Instant now);
-  // As `Serve`; also refuses requests that have waited too long or can get no
-  // tokens, and asks peers on behalf of the others. Returns whether any still
-  // wait.
+  // Does what `Serve` does, and also refuses requests that have waited too long
+  // or can get no tokens, and asks peers on behalf of the others. Returns
+  // whether any still wait.
   bool Expire(Instant now, bool store_reachable);
 
  private:
   struct Waiting {
     HoldWaiterPtr waiter;
     Instant since{};
-    // How often peers were asked on its behalf.
+    // How often peers were asked on behalf of `waiter`.
     int times_asked = 0;
   };
   using WaitingList = std::deque<Waiting>;
--- a/relay/hold_waiter.h
+++ b/relay/hold_waiter.h
@@ -21,11 +21,11 @@
   virtual ~HoldWaiter() = default;
   virtual const RequestId& id() const = 0;
   virtual const CustomerName& customer() const = 0;
-  // Upper bound of its cost.
+  // Upper bound of the request's cost in tokens.
   virtual Tokens worst_case() const = 0;
   virtual void OnHeld() = 0;
-  // `exhausted`: the budget can't hold it. Otherwise only the tokens that this
-  // router can reach don't suffice.
+  // `exhausted`: the budget can't ever hold the worst case. Otherwise only the
+  // tokens that this router can reach don't suffice.
   virtual void OnHoldRefused(bool exhausted) = 0;
 };
 
--- a/relay/peer_mesh.cc
+++ b/relay/peer_mesh.cc
@@ -108,7 +108,7 @@
 
 void PeerMesh::RemoveLink(const LinkPtr& it) {
   links_.erase(it);
-  // One of the link's callbacks may be running.
+  // One of the link's callbacks may be running, so the link is destroyed later.
   loop_.Post([it] {});
   if (!it->peer.empty() && FindPeer(it->peer) == nullptr) on_.lost(it->peer);
 }
--- a/relay/peer_mesh.h
+++ b/relay/peer_mesh.h
@@ -12,8 +12,8 @@
 // Opening a link. Either side may dial, and the first message of each side
 // names its sender (hello). If both dial, there are two links between them; a
 // message takes one of them. A VM runs one router, so a hello of another
-// incarnation of a VM closes the links to the one before it: its process has
-// ended.
+// incarnation (run of the router's process) on a VM closes the links to the
+// previous incarnation, whose process has ended.
 //
 // Losing a link. A cut sends no signal, so a link on which no message arrived
 // for `kMaxSilence` is closed, and dialled again if it is to be kept. Each
@@ -51,7 +51,7 @@
     // Fills in a heartbeat with the state of this router; a hello also gets the
     // router's address.
     std::function<void(PeerMessage& heartbeat)> fill;
-    // The last link to a peer has closed.
+    // Called when the last link to a peer has closed.
     std::function<void(const Incarnation& peer)> lost;
   };
 
@@ -59,15 +59,15 @@
   // with kLocalWaitTime (relay/own_wait.h) it bounds how soon a router that the
   // store doesn't serve learns of a configuration: the limit is 2 s.
   static constexpr Duration kCheckInterval = std::chrono::milliseconds(1000);
-  // A random time to the first check: otherwise routers that start together
-  // would send their heartbeats together, and their peers would receive none in
-  // between.
+  // Returns a random time until the first check: otherwise routers that start
+  // together would send their heartbeats together, and their peers would
+  // receive none in between.
   static Duration DrawFirstCheck();
 
   PeerMesh(Loop& loop, const Clock& clock, Incarnation self, Handlers handlers,
            Duration first_check = kCheckInterval);
 
-  // Takes "host:port". Returns the bound port, or 0.
+  // Listens on `address`, "host:port". Returns the bound port, or 0 on failure.
   std::uint16_t Listen(const std::string& address);
   // Dials those of `members` to which no link is open, now and whenever a link
   // is lost. Links that peers opened stay.
--- a/relay/peer_messages.cc
+++ b/relay/peer_messages.cc
@@ -11,12 +11,12 @@
 
 using Json = nlohmann::json;
 
-// A line is sent as three whole numbers: nanoseconds per token, microseconds,
-// and the number of answers.
+// A SpeedLine is sent as three whole numbers: nanoseconds per token,
+// microseconds, and the number of answers.
 constexpr double kTokenTimeUnit = 1e6;
 constexpr double kBaseUnit = 1000;
 constexpr std::size_t kLineFields = 3;
-// Ages above this are taken as this; it bounds how far a time is set back.
+// Longer ages are clamped to this, which bounds how far a time is set back.
 constexpr std::int64_t kMaxAgeMs = 3'600'000;
 
 Json LineToJson(const SpeedLine& it) {
@@ -24,7 +24,8 @@
           std::llround(it.base_ms * kBaseUnit), std::llround(it.answers)};
 }
 
-// std::nullopt if `json` isn't a list of three non-negative whole numbers.
+// Returns std::nullopt if `json` isn't a list of three non-negative whole
+// numbers.
 std::optional<SpeedLine> LineFromJson(const Json& json) {
   if (!json.is_array() || json.size() != kLineFields) return std::nullopt;
   for (const Json& it : json) {
@@ -44,8 +45,8 @@
   return out;
 }
 
-// An age as whole milliseconds, rounded up so that it never looks newer than it
-// is.
+// An age as whole milliseconds, rounded up so that state never looks newer than
+// it is.
 std::int64_t AgeToJson(Duration age) {
   return std::chrono::ceil<std::chrono::milliseconds>(age).count();
 }
@@ -55,8 +56,8 @@
       std::clamp<std::int64_t>(json.get<std::int64_t>(), 0, kMaxAgeMs));
 }
 
-// An era is sent after, or beside, the number that messages had before there
-// were eras, so that routers of builds without eras can still read the number.
+// Appends the era of a revision after its number, or leaves the era out if it
+// is 0, so that routers of builds without eras can still read the number.
 void AddEra(const StoreRevision& revision, Json& fields) {
   if (revision.era != 0) fields.push_back(revision.era);
 }
@@ -109,7 +110,7 @@
   return out;
 }
 
-// Milliseconds since 1970.
+// The start of each target is sent in milliseconds since 1970.
 Json LeavingToJson(const LeavingStarts& leaving) {
   Json out = Json::object();
   for (const auto& [target, started_at] : leaving) {
@@ -154,7 +155,8 @@
   return out;
 }
 
-// The buckets that aren't empty, each as its index and its count.
+// A histogram is sent as its buckets that aren't empty, each as its index and
+// its count.
 Json HistogramToJson(const TimeHistogram& histogram) {
   Json out = Json::array();
   for (std::size_t n = 0; n < TimeHistogram::kBuckets; ++n) {
@@ -254,7 +256,7 @@
   return out;
 }
 
-// std::nullopt for an unknown feed.
+// Returns std::nullopt for an unknown feed.
 std::optional<FeedUpdate> UpdateFromJson(const Json& json) {
   const auto feed = FromName<FeedName>(json.at("feed").get<std::string>());
   if (!feed) return std::nullopt;
@@ -286,7 +288,7 @@
          kind == PeerMessageKind::kStateRequest;
 }
 
-// std::nullopt for an unknown kind or feed.
+// Returns std::nullopt for an unknown kind or feed.
 std::optional<PeerMessage> FromJson(const Json& json) {
   const auto kind = FromName<PeerMessageKind>(json.value("kind", ""));
   if (!kind) return std::nullopt;
--- a/relay/peer_messages.h
+++ b/relay/peer_messages.h
@@ -35,7 +35,7 @@
 
 enum class PeerMessageKind {
   kHello,            // identifies the sender
-  kPing,             // a heartbeat, with the version in force
+  kPing,             // a heartbeat, with the state of the sender
   kTransferRequest,  // requests a transfer of unused grant of a customer's
                      // budget
   kTransfer,         // running total of what the sender has transferred
@@ -96,8 +96,9 @@
   Incarnation from;
   // kTransferRequest, kTransfer, kHoldRequest.
   CustomerName customer;
-  // The same kinds: the amount requested, the running total, the worst case.
-  // kSettle: the cost. kPromptSent: the tokens to be prefilled.
+  // kTransferRequest: the amount requested. kTransfer: the running total.
+  // kHoldRequest: the worst case. kSettle: the cost. kPromptSent: the tokens to
+  // be prefilled.
   Tokens amount = 0;
   // kTransferRequest: the peer may transfer all its unused grant; otherwise it
   // keeps half.
@@ -136,9 +137,9 @@
   // kHello, kPing: the sender's reports on services that move to another
   // version.
   std::map<ServiceName, RolloutReport> rollouts;
-  // kUpdate, kState; kStateRequest has no changes.
+  // kUpdate, kState, and kStateRequest, which has no changes.
   FeedUpdate update;
-  // kPromptSent: the engine.
+  // kPromptSent: the engine that the prompt was sent to.
   TargetName target;
   // kConfig, kCrashes: key and value of the store's item; for kCrashes the
   // value holds only the new crashes.
@@ -147,7 +148,7 @@
 };
 
 std::string EncodePeerMessage(const PeerMessage& message);
-// std::nullopt if `bytes` is no valid message.
+// Returns std::nullopt if `bytes` is no valid message.
 std::optional<PeerMessage> DecodePeerMessage(std::string_view bytes);
 
 }  // namespace quaytrack
--- a/relay/planned_stop.cc
+++ b/relay/planned_stop.cc
@@ -33,7 +33,7 @@
     on_.close_idle();
     Apply(DrainEvent::kRequestsEnded);
   }
-  // Grants may be returned at once.
+  // The grants may already be returned when the step starts.
   if (machine_.state() == DrainState::kReturning && on_.grants_returned()) {
     Apply(DrainEvent::kLedgerReturned);
   }
--- a/relay/planned_stop.h
+++ b/relay/planned_stop.h
@@ -53,30 +53,30 @@
 namespace quaytrack {
 
 struct PlannedStopTimes {
-  // From SIGTERM until the process is killed: --drain-s.
+  // Time from SIGTERM until the process is killed: --drain-s.
   Duration total = std::chrono::seconds(8);
-  // From turning unready until the balancer sends no new connections, if it has
-  // another router. The platform's balancer checks every second and needs two
-  // answers in a row: 2 s, plus 0.6 s for slow answers.
+  // Time from turning unready until the balancer sends no new connections, if
+  // it has another router. The platform's balancer checks every second and
+  // needs two answers in a row: 2 s, plus 0.6 s for slow answers.
   Duration balancer_delay = std::chrono::milliseconds(2600);
-  // From SIGTERM, requests are accepted whatever their deadline: 2 s until the
-  // balancer has noticed, and 1 s for slow answers. Later requests arrive
-  // because the balancer has too few other routers. In a loaded hall, one
-  // stream in twenty takes more than the 4 s that are left then.
+  // Time from SIGTERM in which requests are accepted whatever their deadline: 2
+  // s until the balancer has noticed, and 1 s for slow answers. Later requests
+  // arrive because the balancer has too few other routers. In a loaded hall,
+  // one stream in twenty takes more than the 4 s that are left then.
   Duration accept_all = std::chrono::milliseconds(3000);
-  // Reserved of `total` for the steps after the requests. It is short, as it is
-  // taken from streams: with 1.5 s of 8 s, seven routers on a quarter of a core
-  // each cut two streams that a stop has time for, while these steps took 0.11
-  // s.
+  // Time of `total` that is reserved for the steps after the requests. The
+  // margin is short, as it is taken from streams: with 1.5 s of 8 s, seven
+  // routers on a quarter of a core each cut two streams that a stop has time
+  // for, while these steps took 0.11 s.
   Duration margin = std::chrono::milliseconds(500);
   // The limit for returning grants: a call that the store doesn't answer is
-  // given up after 1.5 s. On the same routers it took 0.09 s. The step always
-  // ends `reserve` before the kill.
+  // given up after 1.5 s. On the routers named above, returning took 0.09 s.
+  // The step always ends `reserve` before the kill.
   Duration return_timeout = std::chrono::milliseconds(1500);
-  // For the final writes, and for timers that fire late on a busy VM.
+  // Time for the final writes, and for timers that fire late on a busy VM.
   Duration reserve = std::chrono::milliseconds(150);
-  // From the last step to the end of the loop, so that the final writes can
-  // leave.
+  // Time from the last step to the end of the loop, so that the final writes
+  // can leave.
   Duration final_writes = std::chrono::milliseconds(20);
 };
 
@@ -94,13 +94,13 @@
     // Number of requests whose complete answer isn't sent: being read, in
     // progress, or with bytes that their caller hasn't read.
     std::function<std::size_t()> requests;
-    // Number of those that began before the given time, as far as that is
-    // known.
+    // Number of those requests that began before the given time, as far as
+    // their start is known.
     std::function<std::size_t(Instant)> requests_before;
     // The time for requests is over: ends those that still run. The argument is
     // the time until the kill.
     std::function<void(Duration)> end_unfinished;
-    // The store has the grants that this router kept.
+    // Whether the store has the grants that this router kept.
     std::function<bool()> grants_returned;
     // The stop is complete; the loop ends after `final_writes`. The argument is
     // the time until the kill.
--- a/relay/prepaid_store.cc
+++ b/relay/prepaid_store.cc
@@ -18,7 +18,7 @@
 // make work due.
 constexpr Duration kCycleInterval = milliseconds(100);
 // Routers whose writes conflicted retry after a random time up to this, in
-// milliseconds. It doubles with each further rejection up to
+// milliseconds. The maximum doubles with each further rejection up to
 // `kMaxRetryJitterMs`: when fifteen holders have the store back after a cut,
 // each has to change the record, and takes some 30 ms from reading it to
 // writing it.
@@ -47,8 +47,8 @@
   std::int64_t era = 0;
 };
 
-// The era is the number after the last slash, if that stands at `min_slash` or
-// later and a number follows it.
+// Splits off the era, which is the number after the last slash, if that slash
+// is at `min_slash` or later and a number follows it.
 EraKey SplitKey(const std::string& key, std::size_t min_slash) {
   const std::size_t slash = key.rfind('/');
   EraKey out{key, 0};
@@ -119,7 +119,7 @@
 // --- Reading -----------------------------------------------------------------
 
 // The accounts are read before the record, so that the record is never older
-// than they are (PrepaidLedger::OnRead).
+// than the accounts are (PrepaidLedger::OnRead).
 void PrepaidStore::ReadSpends() {
   const std::string prefix = kSpendPrefix + VmOf(self_).value + "@";
   call_ =
@@ -166,8 +166,8 @@
   ScheduleCycle();
 }
 
-// Fills in the record of `read_`, taking the one of the latest era; false if a
-// record can't be decoded. It stays empty if the store has none.
+// Sets `read_.record` to the record of the latest era in `items`, and leaves it
+// empty if there is none. Returns false if a record can't be decoded.
 bool PrepaidStore::DecodeRecord(const std::vector<StoreItem>& items) {
   for (const StoreItem& it : items) {
     const EraKey key = SplitKey(it.key, sizeof kRecordKey - 1);
@@ -237,8 +237,8 @@
   }
 }
 
-// A rejected write returns the present values. That saves a read if only the
-// record has changed, as it does whenever another router writes it.
+// Uses the present values, which a rejected write returns. This saves a read if
+// only the record has changed, as it does whenever another router writes it.
 void PrepaidStore::OnRejected(const std::vector<StoreItem>& present) {
   const Instant started = clock_.Now();
   const std::string spend_key =
--- a/relay/prepaid_store.h
+++ b/relay/prepaid_store.h
@@ -46,11 +46,11 @@
 class PrepaidStore {
  public:
   struct Handlers {
-    // The ledger was updated, and may allow more.
+    // Called when the ledger was updated, and may allow more to be spent.
     std::function<void()> ledger_changed;
-    // The store was lost (false) or is back (true).
+    // Called when the store was lost (false) or is back (true).
     std::function<void(bool)> reachable;
-    // The store has answered a call.
+    // Called when the store has answered a call.
     std::function<void()> answered;
   };
 
@@ -60,7 +60,7 @@
   void Start();
   void RunCycle();
   void ScheduleCycle();
-  // The store has come back in a later era.
+  // Called when the store has come back in a later era (kv/store.h).
   void OnStoreEra() { ScheduleCycle(); }
   bool reachable() const { return reachable_; }
 
--- a/relay/ran.h
+++ b/relay/ran.h
@@ -1,13 +1,12 @@
 // What a router knows about whether a request ran at a target.
 //
-//   Ran::kNo       It certainly did not: nothing of it was passed to the
-//   kernel,
-//                  or the target stated so. It may be sent to another target,
-//                  and a refusal may guarantee the caller that it has not run.
-//   Ran::kUnknown  It was sent, at least in part, and may have run, whatever
-//   the
-//                  answer was. It is charged for, and is sent again only if it
-//                  may be repeated.
+//   Ran::kNo       The request did not run: nothing of it was passed to the
+//                  kernel, or the target stated so. It may be sent to another
+//                  target, and a refusal may guarantee the caller that it has
+//                  not run.
+//   Ran::kUnknown  The request was sent, at least in part, and may have run,
+//                  whatever the answer was. It is charged for, and is sent
+//                  again only if it may be repeated.
 //
 // There is no value for "yes", as no decision depends on it. The names are
 // those of the `ran` field in answers to callers and in `attempt_ended`.
--- a/relay/relay_chart.h
+++ b/relay/relay_chart.h
@@ -43,7 +43,7 @@
   kChoosing,
   // At a target; no earlier attempt may have run the request.
   kTrying,
-  // The same two states after an attempt that may have run.
+  // As kChoosing and kTrying, but an earlier attempt may have run the request.
   kChoosingAgain,
   kTryingAgain,
   // The target of this attempt has sent events, which were forwarded.
@@ -81,7 +81,7 @@
 enum class RelayAction {
   kNone,
   kTakeHold,
-  // Returns a hold that was granted after the end.
+  // Returns a hold that was granted after the request had ended.
   kReturnHold,
   kChoose,
   kSend,
--- a/relay/relay_context.h
+++ b/relay/relay_context.h
@@ -1,9 +1,9 @@
 // RelayContext holds references to the parts of the router that a request uses.
 //
-// RelayRouter owns them all, and each must outlive every request. A request
-// changes them only through their own interfaces, and never changes the context
-// itself. The configuration is not part of it: a request keeps the one that it
-// was admitted under.
+// Each must outlive every request; RelayRouter owns them or was given them. A
+// request changes them only through their own interfaces, and never changes the
+// context itself. The configuration is not part of it: a request keeps the one
+// that it was admitted under.
 
 #ifndef QUAYTRACK_RELAY_RELAY_CONTEXT_H_
 #define QUAYTRACK_RELAY_RELAY_CONTEXT_H_
@@ -41,7 +41,7 @@
   const RelayChart& chart;
   const CallerDialect& caller_dialect;
   const TargetDialect& target_dialect;
-  // Used by each request, in this order.
+  // Each request uses the parts below.
   RunningRequests& requests;
   std::minstd_rand& random;
   BudgetDriver& budgets;
--- a/relay/relay_options.h
+++ b/relay/relay_options.h
@@ -33,8 +33,9 @@
   return out;
 }
 
-// For a target that announces a rate limit: in any such span, all routers
-// together may send this multiple of the limit, and this many requests more.
+// For a target that announces a rate limit: in any span of the first value, all
+// routers together may send the second value times the limit, and as many
+// requests more as the third value.
 inline constexpr RateAllowance kLimitAllowance{std::chrono::seconds(4), 1.5, 5};
 
 inline PlacementRates RatesFrom(const RelaySettings& settings, Instant now) {
@@ -43,8 +44,9 @@
   return {SharedRate(now, cold), SharedRate(now, kLimitAllowance)};
 }
 
-// A version on trial gets this fraction of the exposure that a bad version may
-// have. The rest covers routers that restart and begin to count anew.
+// A version that is being rolled out gets this fraction of the share of
+// requests that a bad version may get (`RelaySettings::exposure_share`). The
+// rest covers routers that restart and begin to count anew.
 inline constexpr double kTrialShareOfExposure = 0.6;
 
 inline Rollout::Options RolloutOptionsFrom(const RelaySettings& settings) {
--- a/relay/relay_router.cc
+++ b/relay/relay_router.cc
@@ -14,14 +14,15 @@
 namespace quaytrack {
 namespace {
 
-// How often the planned stop, the feeds and the link's load are checked. It is
-// short beside the 700 ms over which the load is smoothed.
+// How often the planned stop, the feeds and the link's load are checked. The
+// interval is short compared with the 700 ms over which the load is smoothed.
 constexpr Duration kCheckInterval = std::chrono::milliseconds(200);
 
 // Random bytes that distinguish the runs of the process on one VM.
 constexpr std::size_t kIncarnationBytes = 4;
 
-// Identifies a boot of the machine; empty if it can't be read.
+// Returns the id of the machine's present boot, or an empty string if the id
+// can't be read.
 std::string BootId() {
   std::ifstream in("/proc/sys/kernel/random/boot_id");
   std::string out;
@@ -37,8 +38,8 @@
   return out;
 }
 
-// Binds `server` to `address` and writes the bound port back to it. On failure
-// the log names the setting.
+// Binds `server` to `address` and writes the bound port into `address`. On
+// failure the log names the setting.
 template <class Server>
 bool ListenAt(const char* setting, std::string& address, Server& server) {
   const std::uint16_t port = server.Listen(address);
@@ -297,8 +298,8 @@
   return out;
 }
 
-// A router whose list hasn't settled may take a large fleet for a small one, so
-// it decides nothing.
+// A router whose list of routers hasn't settled may take a large fleet for a
+// small one, so it decides nothing.
 RolloutContext RelayRouter::SceneOfRollouts() const {
   const FleetDirectory& directory = fleet_.directory();
   const VmName& self = directory.self().vm;
@@ -363,7 +364,8 @@
   targets_.OnStoreReachable(reachable);
 }
 
-// What this router reads may now be older, and what it wrote may be lost.
+// Called in a later era of the store (kv/store.h): what this router reads may
+// be older than before, and what it wrote may be lost.
 void RelayRouter::OnStoreEra() {
   configs_.feed().OnStoreEra();
   targets_.feed().OnStoreEra();
@@ -386,9 +388,9 @@
   budgets_.JoinIfHolder();
 }
 
-// Takes effect from the first read of the list: a superfluous reader costs some
-// calls until the list has settled, and without readers no router gets the list
-// of targets.
+// Sets whether this router is a reader, from the first read of the list of
+// routers on: a superfluous reader costs some calls until the list has settled,
+// and without readers no router gets the list of targets.
 void RelayRouter::SetFeedRoles() {
   const FleetDirectory& directory = fleet_.directory();
   if (!directory.IsRead()) return;
@@ -427,13 +429,15 @@
   CheckRouterCount(message);
 }
 
-// Peers may have no other way to learn of it while the store is away.
+// Sends peers a heartbeat at once, as they may have no other way to learn that
+// the target leaves while the store is away.
 void RelayRouter::OnTargetLeaving(const TargetEntry& target) {
   placement_.OnLeavingAnnounced(clock_.Now(), target);
   if (targets_.OnLeavingNotice(target)) peers_.BroadcastHeartbeat();
 }
 
-// The answer to a read shows the era to all parts that need it.
+// If the peer knows a later era of the store, reads the store: the answer shows
+// the era to all parts that need it.
 void RelayRouter::CheckStoreEra(const PeerMessage& message) {
   if (message.store_era <= std::max(store_.era(), peer_era_)) return;
   peer_era_ = message.store_era;
@@ -448,8 +452,8 @@
   }
 }
 
-// In a large fleet only readers are linked to many routers, so they forward the
-// reports that they receive.
+// In a large fleet only readers are linked to many routers, so the readers
+// forward the reports that they receive.
 void RelayRouter::BroadcastRateLimits() {
   const FleetDirectory& directory = fleet_.directory();
   const bool forwards = directory.IsReader(directory.self().vm);
@@ -467,9 +471,9 @@
     fleet_.OnReaderCounts(message.routers);
 }
 
-// Only in a small fleet: in a large one a router is linked to few others, so
-// the message would tell them little, and routers with many links would receive
-// too many.
+// Announces a prompt to the peers, but only in a small fleet: in a large one a
+// router is linked to few others, so few would learn of the prompt, and routers
+// with many links would receive too many.
 void RelayRouter::BroadcastPrompt(const SentPrompt& sent) {
   if (!fleet_.directory().IsSmall()) return;
   PeerMessage out;
--- a/relay/relay_router.h
+++ b/relay/relay_router.h
@@ -136,7 +136,7 @@
   PeerMesh peers_;
   RetryShares retries_;
   RunningRequests requests_;
-  // Used to choose among the services of a route.
+  // Chooses among the services of a route.
   std::minstd_rand random_{std::random_device{}()};
   const RelayContext context_;
   CallerServer caller_server_;
--- a/relay/relay_settings.h
+++ b/relay/relay_settings.h
@@ -29,7 +29,7 @@
 namespace quaytrack {
 
 struct RelayValues : ProcessIdentity {
-  // Empty to serve no metrics.
+  // Address at which metrics are served; empty to serve none.
   std::string metrics_listen;
   std::string store;
   std::string ready_path = "/readyz";
@@ -38,10 +38,10 @@
   // platform sets both.
   double retry_ratio = 0.2;
   double retry_slack = 50;
-  // All routers together may send a cold target this multiple of the rate that
-  // its service allows, and this many requests more, in any second
-  // (dispatch/shared_rate.h). The defaults allow nothing beyond that rate; the
-  // platform sets both.
+  // All routers together may send a cold target, one that has just started,
+  // this multiple of the rate that its service allows, and this many requests
+  // more, in any second (dispatch/shared_rate.h). The defaults allow nothing
+  // beyond that rate; the platform sets both.
   double cold_overage = 1;
   double cold_slack = 0;
   // Fraction of a service's requests that a bad version may get from all
@@ -73,7 +73,7 @@
 
 struct RelaySettings : RelayValues, LogSettings {
   std::chrono::seconds retry_window{};
-  // From SIGTERM until the process is killed.
+  // Time from SIGTERM until the process is killed.
   std::chrono::seconds drain_time{};
   // A router keeps at least what it spends in this time granted.
   std::chrono::seconds cover{};
--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -126,7 +126,8 @@
                              : RelayCause::kBudgetUnavailable);
 }
 
-// Checked before each send, as reports may arrive while the request waits or
+// Whether the request is blamed for crashes (relay/crash_watch.h). This is
+// checked before each send, as reports may arrive while the request waits or
 // runs at another target.
 bool RelayedRequest::IsBlamed() {
   return context_.crashes.HasReports() &&
@@ -378,8 +379,8 @@
   Apply(RelayEvent::kAnswerComplete);
 }
 
-// The target may no longer receive work, and nothing was written to it. This
-// doesn't count as a send and uses no retry.
+// Called when nothing was written to the target, as it may no longer receive
+// work. The attempt doesn't count as a send and uses no retry.
 void RelayedRequest::OnSendHeldBack(const AttemptResult& result) {
   LogSendHeldBack(id(), progress_.choice.target);
   context_.metrics.CountHeldBack();
@@ -399,8 +400,8 @@
   if (context_.crashes.HasReports()) context_.crashes.OnRan(fingerprint());
 }
 
-// The target closed the connection: it may have crashed, possibly because of
-// this request.
+// Called when the target closed the connection. The target may have crashed,
+// possibly because of this request.
 void RelayedRequest::ReportLost() {
   if (CrashWatch::HasPassedStartPhase(TimeSinceFirstEvent())) {
     passed_start_phase_ = true;
@@ -411,8 +412,8 @@
   context_.crashes.OnLost(MakeLostAttempt());
 }
 
-// This router stops the attempt. Its target may be about to end, or hang,
-// because of the request.
+// Called when this router stops the attempt. The target may be about to end, or
+// hang, because of the request.
 void RelayedRequest::ReportStopped() {
   const bool at_target = RanInAttempt() == Ran::kUnknown;
   if (!at_target || passed_start_phase_ ||
@@ -431,8 +432,8 @@
   return call_ && call_->sent() ? Ran::kUnknown : Ran::kNo;
 }
 
-// Ends the call to the target, if there is one. Every way out of an attempt
-// goes through here.
+// Ends the call to the target, if there is one. Each end of an attempt calls
+// this.
 void RelayedRequest::StopAttempt(PlacementOutcome outcome) {
   if (!call_) return;
   ReportAnswer(outcome);
@@ -476,9 +477,9 @@
   return expected_ms > 0 ? took_ms / expected_ms : took_ms;
 }
 
-// The attempt has failed, by its timeout or at its target. A deadline and a
-// caller that leaves end the whole request instead, and log no line about the
-// attempt.
+// Called when the attempt has failed, by its timeout or at its target. A
+// deadline and a caller that leaves end the whole request instead, and log no
+// line about the attempt.
 void RelayedRequest::EndAttempt(Ran ran, PlacementOutcome outcome) {
   const auto self = shared_from_this();
   StopAttempt(outcome);
@@ -550,9 +551,10 @@
   GiveUp(ran, RelayCause::kTimedOut);
 }
 
-// As OnDeadline, with another cause: the caller learns whether the request may
-// have run, and is charged its cost. Otherwise the exit of the process would
-// cut the connection without an answer, and charge the complete hold.
+// Ends the request as OnDeadline does, but with another cause: the caller
+// learns whether the request may have run, and is charged its cost. Otherwise
+// the exit of the process would cut the connection without an answer, and
+// charge the complete hold.
 void RelayedRequest::EndForStop(Duration left) {
   const auto self = shared_from_this();
   if (machine_.state() == RelayState::kEnded) return;
@@ -598,8 +600,8 @@
   End(ran);
 }
 
-// The chart selects an end once per request. `ran` covers all attempts
-// together.
+// Ends the request. The chart selects an end once per request. `ran` covers all
+// attempts together.
 void RelayedRequest::End(Ran ran) {
   StopAttempt(outcome_);
   deadline_timer_.reset();
--- a/relay/relayed_request.h
+++ b/relay/relayed_request.h
@@ -62,7 +62,7 @@
 class RelayedRequest : public HoldWaiter,
                        public std::enable_shared_from_this<RelayedRequest> {
  public:
-  // `map` is the current configuration; null before the first one.
+  // `map` is the current configuration; null before the router has read one.
   RelayedRequest(const RelayContext& context, ServiceMapPtr map,
                  std::shared_ptr<CallerConnection> caller,
                  CallerRequest request);
@@ -159,7 +159,8 @@
   // Tokens of the prompt that the target has yet to prefill.
   Tokens prefill_ = 0;
   HttpHead answer_;
-  // From the head of this attempt's answer; empty until the head arrives.
+  // Contents of the head of this attempt's answer; empty until the head
+  // arrives.
   AnswerFacts answer_facts_;
   // Body of an answer that is forwarded only when it is complete.
   std::string body_;
--- a/relay/remote_holds.cc
+++ b/relay/remote_holds.cc
@@ -30,7 +30,8 @@
   AskNextHolder(now, hold);
 }
 
-// Without a further holder, the request is refused at the next `CheckTimeouts`.
+// Asks the next holder. Without a further holder, the request is refused at the
+// next `CheckTimeouts`.
 void RemoteHolds::AskNextHolder(Instant now, PendingHold& hold) {
   hold.holder = {};
   hold.asked_at = now;
@@ -49,7 +50,8 @@
   on_.send(hold.holder, out);
 }
 
-// The holder may have granted the hold, or may still do so.
+// Sends the asked holder a cost of zero, as it may have granted the hold or may
+// still do so.
 void RemoteHolds::ReleaseAtHolder(Instant now, const PendingHold& hold) {
   if (hold.holder.empty()) return;
   SendCost(now, {hold.request.id, hold.holder}, 0);
@@ -149,7 +151,8 @@
   }
 }
 
-// A later incarnation proves that the holder has died.
+// Whether the cost needn't be sent again: a later incarnation on the holder's
+// VM proves that the holder has died, or `give_up_after` has passed.
 bool RemoteHolds::IsObsolete(Instant now, const HoldKey& key,
                              const UnacknowledgedCost& it) const {
   const Incarnation linked = on_.linked_incarnation(VmOf(key.holder));
--- a/relay/remote_holds.h
+++ b/relay/remote_holds.h
@@ -11,8 +11,9 @@
 //   - An answer that is lost: the next holder is asked, and the first one
 //     receives a cost of zero, as the request has not been sent yet.
 //   - A cost that isn't acknowledged is sent again while the same incarnation
-//     of the holder lives. After its death the hold is part of what was charged
-//     for it (prepaid/prepaid_record.h, Dead members).
+//     (run of the router's process) of the holder lives. After its death the
+//     hold is part of what was charged for it (prepaid/prepaid_record.h, Dead
+//     members).
 //   - This router's death: the holder charges the full amount when a later
 //     incarnation of this VM sends its hello (relay/served_holds.h).
 //
@@ -44,8 +45,8 @@
     HoldTimeouts timeouts;
     // Interval at which an unacknowledged cost is sent again.
     Duration resend_every = std::chrono::milliseconds(1000);
-    // After this the cost is no longer sent; its hold stays charged at the
-    // holder.
+    // After this time, an unacknowledged cost is no longer sent; its hold stays
+    // charged at the holder.
     Duration give_up_after = std::chrono::seconds(60);
   };
   struct Handlers {
@@ -57,7 +58,7 @@
     RequestId id;
     CustomerName customer;
     Tokens amount = 0;
-    // Asked in this order.
+    // The holders to ask, in this order.
     std::vector<VmName> holders;
     // Never called from within `RequestHold`.
     std::function<void(PrepaidVerdict)> done;
--- a/relay/request_cost.h
+++ b/relay/request_cost.h
@@ -24,7 +24,7 @@
 namespace quaytrack {
 
 struct CostFacts {
-  // Of all attempts together.
+  // Whether the request may have run in any attempt.
   Ran ran = Ran::kNo;
   Tokens worst_case = 0;
   Tokens prompt_tokens = 0;
--- a/relay/request_log.h
+++ b/relay/request_log.h
@@ -33,14 +33,15 @@
   int sends = 0;
   // Events of the stream that were forwarded.
   int events = 0;
-  // The target of the latest attempt, and the values that decided for it.
+  // The target of the latest attempt, and the values that decided for that
+  // target.
   PlacementChoice choice;
   // Status of the latest answer's head; 0 before the first. An attempt without
   // an answer keeps the status of the one before.
   int status = 0;
   // When the latest attempt's answer began; unset if there is none.
   std::optional<Instant> head_at;
-  // From the latest send to its first event, if one has arrived.
+  // Time from the latest send to its first event, if one has arrived.
   Duration first_event{};
   // The longest pause between two events of one attempt, as received.
   Duration longest_pause{};
@@ -52,9 +53,10 @@
   // stream was cut or the caller had left.
   int status = 0;
   Tokens cost = 0;
-  // Version of the configuration that it was admitted under; 0 without one.
+  // Version of the configuration that the request was admitted under; 0 without
+  // one.
   std::uint64_t config_version = 0;
-  // From the request's first byte.
+  // Time from the request's first byte.
   Duration took{};
 };
 
@@ -62,7 +64,7 @@
 struct AttemptEnd {
   Ran ran = Ran::kUnknown;
   Instant now{};
-  // From the send.
+  // Time from the send.
   Duration took{};
   // Fingerprint of the request if it may have run in this attempt; else empty.
   Fingerprint fingerprint;
@@ -71,29 +73,30 @@
 void LogAttemptEnded(const RequestId& id, const RequestProgress& progress,
                      const AttemptEnd& end);
 
-// A request that is refused because it crashes targets, for another `left`.
+// Logs that a request was refused because it crashes targets. It will be
+// refused for the time `left` from now.
 void LogBlamedRefused(const RequestId& id, const Fingerprint& fingerprint,
                       Duration left);
 
-// A request that was not written to a target, as the target may no longer
+// Logs a request that was not written to a target, as the target may no longer
 // receive work.
 void LogSendHeldBack(const RequestId& id, const TargetEntry& target);
 
-// An answer states that its target leaves, or accepts nothing from this router
-// for a while.
+// These log that an answer states that its target leaves, or that its target
+// accepts nothing from this router for `wait`.
 void LogSaysLeaving(const RequestId& id, const TargetEntry& target);
 void LogBacksOff(const RequestId& id, const TargetEntry& target, Duration wait);
 
-// A target's rate limit has changed; `by` names the source.
+// Logs that a target's rate limit has changed; `by` names the source.
 void LogRateLimit(const TargetStart& target, const RateLimits& limits,
                   const std::string& by);
 
 void LogRequestEnded(const Admission& admission,
                      const RequestProgress& progress, const RequestEnd& end);
 
-// A request that still runs when a planned stop has no more time for requests.
-// `state` is its chart's state, `since` the time from its first byte, and
-// `left` the time until the process is killed.
+// Logs a request that still runs when a planned stop has no more time for
+// requests. `state` is its chart's state, `since` the time from its first byte,
+// and `left` the time until the process is killed.
 void LogRequestOverran(const Admission& admission,
                        const RequestProgress& progress, RelayState state,
                        Duration since, Duration left);
--- a/relay/retry.h
+++ b/relay/retry.h
@@ -4,12 +4,11 @@
 //   1. `MaySendAgain`, from what is known about the request alone:
 //      - its caller is still connected, and enough of its time is left;
 //      - it has not been sent too often;
-//      - it isn't known to crash targets, and wouldn't be if it has just
-//      crashed
-//        this one (relay/crash_watch.h);
+//      - it isn't known to crash targets, and wouldn't be after one more
+//        crash, if it may have crashed this target (relay/crash_watch.h);
 //      - if the attempt may have run, its route allows repetition, and allows
 //        another target.
-//   2. Another target is available (`Placement::Choose` without those tried).
+//   2. A target that wasn't tried is available (`Placement::Choose`).
 //   3. The service's retries are within their share (dispatch/retry_share.h).
 //
 // Condition 1 is checked first as it is free, and 3 last as it counts the
@@ -46,13 +45,13 @@
 inline constexpr int kMaxSends = 3;
 
 struct RetryFacts {
-  // Of the attempt that has ended.
+  // Whether the attempt that has ended may have run the request.
   Ran ran = Ran::kUnknown;
   bool caller_gone = false;
   // The attempt may have crashed its target, and one more crash would mark the
   // request as one that crashes targets.
   bool crashes_targets = false;
-  // Until the deadline.
+  // Time until the deadline.
   Duration left{};
   // Number of sends, including this attempt.
   int sends = 0;
@@ -68,10 +67,10 @@
  public:
   explicit RetryShares(const RetryShareOptions& options) : options_(options) {}
 
-  // Number of routers that share what a service allows.
+  // Sets the number of routers that share the retries of a service.
   void SetRouters(std::size_t routers) { routers_ = routers; }
 
-  // A request for the service was admitted.
+  // Called when a request for the service was admitted.
   void OnRequest(Instant now, const ServiceName& service) {
     ShareOf(service).OnRequest(now);
   }
@@ -85,7 +84,7 @@
 
   RetryShareOptions options_;
   std::size_t routers_ = 1;
-  // Created on first use.
+  // Each entry is created on first use.
   std::map<ServiceName, RetryShare> shares_;
 };
 
--- a/relay/rollout_driver.cc
+++ b/relay/rollout_driver.cc
@@ -12,8 +12,9 @@
 
 using std::chrono::milliseconds;
 
-// Deciders write at a random moment within this time. It is short beside the
-// bound on noticing a bad version, 5 s.
+// Upper bound of the random time that a decider waits before it writes the
+// status of a roll-out. The bound is short compared with the 5 s within which a
+// bad version must be noticed.
 constexpr Duration kWriteSpread = milliseconds(400);
 // Delay from a failed write to the next try.
 constexpr Duration kRetryAfter = milliseconds(300);
@@ -175,7 +176,8 @@
   on_.rule(service, rule, begin(random_));
 }
 
-// Peers are notified at once of a step that this router took or followed.
+// Logs the state of the roll-out if it has changed. A decider then also sends a
+// heartbeat to its peers at once.
 void RolloutDriver::LogState(const ServiceName& service, Entry& entry) {
   const Rollout& rollout = *entry.rollout;
   if (rollout.state() == entry.logged) return;
@@ -264,7 +266,8 @@
   CheckOne(service, entry);
 }
 
-// Another decider has written the status meanwhile.
+// Applies the status that another decider has written meanwhile, and drops the
+// pending write if that status replaces it.
 void RolloutDriver::OnConflict(Entry& entry, const StoreWritten& written) {
   entry.written = {};
   for (const StoreItem& it : written.present) {
@@ -292,7 +295,8 @@
   }
 }
 
-// The status of an order only counts if it was written after the order.
+// Requests that the status is written again in a later era of the store: it
+// counts only if it was written after the order.
 void RolloutDriver::Redeclare(Entry& entry) {
   switch (entry.rollout->state()) {
     case RolloutState::kUnconfirmed:
--- a/relay/rollout_driver.h
+++ b/relay/rollout_driver.h
@@ -16,16 +16,17 @@
 // has seen the order, and later how it ended, each on the condition that the
 // status was not written meanwhile. So the first writer wins, and a later one
 // learns from its rejection what the status is. A status of an earlier order or
-// of another version doesn't count for this one. A write without an answer is
-// repeated, and the answer shows what became of the first. Deciders wait a
-// random time before they write; by then most know that another one has
-// written.
+// of another version doesn't count for the present order. A write without an
+// answer is repeated, and the answer shows what became of the first write.
+// Deciders wait a random time before they write; by then most know that another
+// one has written.
 //
 // Versions that were ordered before and not completed get no requests as long
 // as another version has a target, until they are ordered again: their targets
 // may still be there for some seconds.
 //
-// A store in a later era may lack the status; deciders write it again.
+// A store that is back from an older copy of itself, in a later era
+// (kv/store.h), may lack the status; deciders write it again.
 //
 // It owns the roll-outs and its calls. Clock, store, reader and chart must
 // outlive it. An order of a version that no target runs is withdrawn when its
@@ -62,8 +63,9 @@
     // `begin` is where this router starts to count (dispatch/version_gate.h).
     std::function<void(const ServiceName&, const VersionRule&, double begin)>
         rule;
-    // The scene by this router's list of routers; the two handlers below fill
-    // in `has_next` and `running_elsewhere`.
+    // Returns a context with the values that follow from this router's list of
+    // routers; the two handlers below give `has_next` and
+    // `running_at_other_versions`.
     std::function<RolloutContext()> scene;
     std::function<bool(const ServiceName&, const VersionName&)> has_version;
     std::function<std::size_t(const ServiceName&, const VersionName&)>
--- a/relay/served_holds.cc
+++ b/relay/served_holds.cc
@@ -5,14 +5,15 @@
 namespace quaytrack {
 namespace {
 
-// Settled holds that are remembered, so that a hold request that was overtaken
-// by its own settlement holds nothing.
+// Maximum number of settled holds that are remembered, so that a hold request
+// that arrives after its own settlement holds nothing.
 constexpr std::size_t kMaxSettledRemembered = 4096;
 
 }  // namespace
 
 void ServedHolds::PeerHold::OnHeld() {
-  // Granted after the hold was settled or abandoned.
+  // The hold was granted after it had been settled or abandoned, so it is
+  // returned.
   if (ended) return owner_.on_.settle(customer_, amount_, 0);
   held = true;
   owner_.Answer(key_, HoldAnswer::kHeld);
--- a/relay/served_holds.h
+++ b/relay/served_holds.h
@@ -1,14 +1,14 @@
 // ServedHolds manages the holds that this router, as a holder of grants, keeps
 // for peers without a grant. It is the counterpart of relay/remote_holds.h.
 //
-//   holds.OnHoldWanted(message);   // answered when the grant holds it, or not
+//   holds.OnHoldWanted(message);   // the answer follows: held, or refused
 //   holds.OnSettle(message);       // acknowledged, each time that it arrives
 //   holds.OnHello(peer);           // an earlier process on that VM is dead
 //
-// A hold is kept until its cost arrives, or until a later incarnation of the
-// asker's VM proves that the asker has died. In that case the full amount
-// counts as spent, since the actual cost is unknown. Time alone ends no hold:
-// an asker that was frozen may continue to spend.
+// A hold is kept until its cost arrives, or until a later incarnation (run of
+// the router's process) on the asker's VM proves that the asker has died. In
+// that case the full amount counts as spent, since the actual cost is unknown.
+// Time alone ends no hold: an asker that was frozen may continue to spend.
 //
 // Messages may be lost, duplicated and delayed. A repeated hold request changes
 // nothing, and one that arrives after its own settlement holds nothing.
@@ -51,7 +51,8 @@
 
   void OnHoldWanted(const PeerMessage& message);
   void OnSettle(const PeerMessage& message);
-  // A router sent its hello: earlier ones on its VM are dead.
+  // Called when a router sent its hello: earlier incarnations of its VM are
+  // dead.
   void OnHello(const Incarnation& peer);
   // Refers waiting and new hold requests to other holders.
   void Stop();
--- a/relay/state_feed.cc
+++ b/relay/state_feed.cc
@@ -14,8 +14,8 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-// Added to the time without heartbeats: a random time up to this, drawn once by
-// each router, so that routers that lose their readers or the store at the same
+// Added to `Options::fresh_for`: a random time up to this, drawn once by each
+// router, so that routers that lose their readers or the store at the same
 // moment don't all call at once.
 constexpr Duration kFreshSpread = milliseconds(300);
 // A heartbeat whose age is at most this ends a router's own calls. It is less
@@ -34,11 +34,11 @@
 // heartbeat then nearly always shows an age below `kMaxHeartbeatAge`. With 130
 // ms, and waits and heartbeats in step after a common start, 280 routers
 // switched between receiving and reading every two seconds: 18,400 calls in a
-// day of 48 s.
+// 48 s simulation of a day.
 constexpr Duration kFleetCallInterval = milliseconds(80);
-// Bounds for one reader's wait. The lower one is long beside a call, which
-// takes some milliseconds; by the upper one a lost wait is noticed within the
-// limit of 3 s.
+// Bounds for one reader's wait. The lower bound is much longer than a call,
+// which takes some milliseconds; by the upper bound a lost wait is noticed
+// within the limit of 3 s.
 constexpr Duration kMinWaitTimeout = milliseconds(500);
 constexpr Duration kMaxWaitTimeout = milliseconds(2000);
 // Each wait lasts a random share of its length, from this to 1, so that readers
@@ -103,8 +103,8 @@
   WaitForReaders(within);
 }
 
-// A router that has items, and has not been shown to be current since, follows
-// the store from there.
+// After `within`, a router that has items, and has not been shown to be current
+// since, follows the store from there.
 void StateFeed::WaitForReaders(Duration within) {
   start_timer_ = context_.loop.After(within, [this, within] {
     start_timer_.reset();
@@ -280,7 +280,7 @@
 
 void StateFeed::OnUpdate(const FeedUpdate& update) {
   if (update.revision <= Known()) return OnMark({update.revision, update.age});
-  // The read in progress shows all of these changes.
+  // The read in progress shows all changes of `update`.
   if (IsReader() && !has_items_) return;
   const bool leads_on =
       update.since <= Known() && update.since.era == update.revision.era;
@@ -291,7 +291,8 @@
   MarkCurrentByReader(update.age);
 }
 
-// Two readers may batch the same changes differently, so some may be known.
+// Applies the changes that aren't known yet. Two readers may batch the same
+// changes differently, so some may be known.
 void StateFeed::ApplyChanges(const FeedUpdate& update) {
   const StoreRevision known = Known();
   StoreRevision latest(update.revision.era, 0);
@@ -342,15 +343,15 @@
   MarkCurrentByReader(update.age);
 }
 
-// Every change made up to `age` ago is known here, or is about to be passed to
-// the handlers.
+// Called when every change made up to `age` ago is known here, or is about to
+// be passed to the handlers.
 void StateFeed::MarkCurrent(Duration age) {
   current_at_ = std::max(current_at_, context_.clock.Now() - age);
   if (age <= kMaxHeartbeatAge) SetLost(false);
 }
 
-// A reader has shown that this router is current, so it needs no calls of its
-// own.
+// Called when a reader has shown that this router is current, so that this
+// router needs no calls of its own.
 void StateFeed::MarkCurrentByReader(Duration age) {
   MarkCurrent(age + kTransitTime);
   if (age <= kMaxHeartbeatAge && HasState()) Apply(FeedEvent::kReaderCurrent);
@@ -444,8 +445,8 @@
   if (state() != FeedState::kNotified) follower_.RestartWait();
 }
 
-// The store may hold a wait that starts at a revision of an earlier era even
-// though much has changed.
+// A wait that starts at a revision of an earlier era may stay unanswered even
+// though much has changed, so everything is read again for a later era.
 void StateFeed::ReadUpTo(StoreRevision revision) {
   if (revision.era == Known().era) return RestartWait();
   if (state() != FeedState::kNotified) follower_.ReadAgain();
--- a/relay/state_feed.h
+++ b/relay/state_feed.h
@@ -9,14 +9,14 @@
 //   heartbeat.marks[options.name] = *feed.Mark();
 //
 // In a small fleet each router follows the store itself (kv/follower.h). In a
-// larger one this costs a call of each router for every change, and one for
-// every wait that ends without a change: 295 routers made 11,000 to 30,000
-// calls in a day of 48 s, most of them for this. So a few routers of each hall
-// are its **readers**: the holders of the hall (fleet/fleet.h). They follow
-// from the list of routers, so none has to be appointed, and the other routers
-// are already linked to them. Readers follow the store and send its changes to
-// their hall and to each other. The other routers make no calls while they
-// receive them. The states are in chart/charts/feed.json.
+// larger one, following costs a call of each router for every change, and one
+// for every wait that ends without a change: 295 routers made 11,000 to 30,000
+// calls in a 48 s simulation of a day, most of them for this. So a few routers
+// of each hall are its **readers**: the holders of the hall (fleet/fleet.h).
+// They follow from the list of routers, so none has to be appointed, and the
+// other routers are already linked to them. Readers follow the store and send
+// its changes to their hall and to each other. The other routers make no calls
+// while they receive them. The states are in chart/charts/feed.json.
 //
 // The store remains the only authority. Updates carry the store's revisions and
 // take effect only if they start at or before the revision that is known here;
@@ -95,7 +95,8 @@
   std::function<bool(const Incarnation&)> is_reader;
   // The linked readers, in the order in which this router sends them requests.
   std::function<std::vector<Incarnation>()> readers;
-  // The store has answered a call of `feed`; see `NotifyOtherFeeds`.
+  // Called when the store has answered a call of `feed`; see
+  // `NotifyOtherFeeds`.
   std::function<void(const StateFeed& feed)> store_answered =
       [](const StateFeed&) {};
 };
@@ -128,7 +129,7 @@
     // other ways.
     Duration fresh_for = kFreshFor;
   };
-  // Those of a follower; `answered` is not used.
+  // The handlers of a StoreFollower; `answered` is not used.
   using Handlers = StoreFollower::Handlers;
 
   StateFeed(const FeedContext& context, Options options, Handlers handlers,
@@ -137,28 +138,31 @@
   FeedName name() const { return options_.name; }
 
   void Start() { follower_.Start(); }
-  // The same in a fleet that has readers: requests all items from a reader, and
-  // reads the store only if no reader has started to send them within `within`.
+  // Starts the feed in a fleet that has readers: requests all items from a
+  // reader, and reads the store only if no reader has started to send them
+  // within `within`.
   void StartFromReaders(Duration within = kDefaultReaderTimeout);
   // Sets whether this router is one of the fleet's `readers` readers.
   void SetRole(bool is_reader, std::size_t readers);
   void OnPeer(const PeerMessage& message);
-  // The store has answered some call of this router.
+  // Called when the store has answered some call of this router.
   void OnStoreAnswered();
-  // An answer to some call of this router has shown a later era of the store.
+  // Called when an answer to some call of this router has shown a later era of
+  // the store.
   void OnStoreEra() { follower_.CheckEra(); }
   // Detects that this router wasn't shown to be current for too long.
   void Check();
-  // The open wait may be lost; starts it again.
+  // Starts the open wait for changes again, as it may be lost.
   void RestartWait();
-  // Reads up to this revision, which a peer knows and this router doesn't.
+  // Reads up to `revision`, which a peer knows and this router doesn't.
   void ReadUpTo(StoreRevision revision);
 
   // The mark for a reader's heartbeat; std::nullopt at other routers.
   std::optional<FeedMark> Mark() const;
   // The revision up to which every change was passed to the handlers.
   StoreRevision known() const { return Known(); }
-  // See StoreFollower::latest_change.
+  // Revision of the latest change that was reported
+  // (StoreFollower::latest_change).
   StoreRevision latest_change() const { return follower_.latest_change(); }
   // Whether every change up to `revision` is known here. Knowing an item of
   // that revision isn't enough: a read in pages may show a later item and miss
@@ -179,7 +183,7 @@
   StoreRevision LatestKnown() const {
     return std::min(Known(), follower_.latest_change());
   }
-  // Some state was read or received.
+  // Whether some state was read or received.
   bool HasState() const { return Known() != StoreRevision(); }
   // Whether `revision` is of the store's present era, as far as this router
   // knows.
@@ -203,14 +207,14 @@
   void MarkCurrent(Duration age);
   void MarkCurrentByReader(Duration age);
 
-  // Readers.
+  // Functions of readers.
   void RecordChange(const StoreChange& change);
   void SendPending();
   // Whether changes of this size are only announced, and sent on request.
   bool ShouldOnlyAnnounce(std::size_t bytes) const;
   void SendState(const Incarnation& peer, const FeedUpdate& wanted);
 
-  // Routers that are behind.
+  // Functions of routers that are behind.
   void OnBehind(StoreRevision revision);
   void RequestState();
   void RequestFromNextReader();
--- a/relay/target_follower.cc
+++ b/relay/target_follower.cc
@@ -16,14 +16,14 @@
 // A target whose entry expired in an outage is listed again within about 2 s of
 // the store's return, and a target that left may get work until 2 s after its
 // entry was seen missing. The value stays below the second bound, which 2.2 s
-// broke. With 1.7 s, 40 simulated days on each site broke no rule.
+// broke. With 1.7 s, 40 simulations of a day on each site broke no rule.
 constexpr Duration kRelistTime = std::chrono::milliseconds(1700);
 
 // From an answer with changes to the next wait. Targets change in series, when
 // a fleet starts or is replaced, and a router that starts a new wait after each
-// change makes a call for each. In one run, with other changes beside it, this
-// delay cut the store calls of a starting fleet from 5,917 to 4,124. It does no
-// harm, as a target announces that it leaves seconds before it ends.
+// change makes a call for each. In one simulation, together with other changes,
+// this delay cut the store calls of a starting fleet from 5,917 to 4,124. It
+// does no harm, as a target announces that it leaves seconds before it ends.
 constexpr Duration kTargetSpacing = std::chrono::milliseconds(400);
 
 // How long a starting router waits for a reader to send the list. If all
--- a/relay/target_follower.h
+++ b/relay/target_follower.h
@@ -34,10 +34,10 @@
 //
 // A store that comes back from an older copy of itself lists the targets as
 // they were then, until they have written their entries again. So the first
-// read of a later era counts as an outage, by the rules above. An entry in it
-// of a target that isn't listed here may be that of a target that had left: it
-// takes effect once it is written again, or if it is still there after
-// `kMaxEntryDelay`, by which time it would have expired. A target that is
+// read of a later era (kv/store.h) counts as an outage, by the rules above. An
+// entry in it of a target that isn't listed here may be that of a target that
+// had left: it takes effect once it is written again, or if it is still there
+// after `kMaxEntryDelay`, by which time it would have expired. A target that is
 // known to leave stays leaving, and peers are notified
 // (fleet/target_registry.h).
 //
@@ -69,17 +69,19 @@
 class TargetFollower {
  public:
   struct Handlers {
-    // The list may have changed.
+    // Called when the list may have changed.
     std::function<void()> changed;
-    // This follower has lost the store (false) or has it back (true). The
-    // receiver notifies every part concerned, including this follower.
+    // Called when this follower has lost the store (false) or has it back
+    // (true). The receiver notifies every part concerned, including this
+    // follower.
     std::function<void(bool)> store_reachable;
-    // The feed's access to the fleet; unused in a small one.
+    // The feed's access to the fleet; unused in a small fleet.
     FeedLinks feed = {};
-    // A listed target has started again; `before` is its previous start.
+    // Called when a listed target has started again; `before` is its entry from
+    // before the restart.
     std::function<void(const TargetEntry& before)> restarted = {};
-    // A target's entry vanished outside an outage, without an announcement that
-    // the target leaves.
+    // Called when a target's entry vanished outside an outage, without an
+    // announcement that the target leaves.
     std::function<void(const TargetEntry& gone)> vanished = [](const auto&) {};
   };
 
@@ -90,10 +92,11 @@
   // fleet that has readers, which then send the list, and 0 in another.
   void Start(std::size_t routers);
   void OnPeer(const PeerMessage& message);
-  // The target has announced in an answer that it leaves. Returns whether that
-  // is new.
+  // Called when the target has announced in an answer that it leaves. Returns
+  // whether this was not known before.
   bool OnLeavingNotice(const TargetEntry& target);
-  // A client of the store has lost it (false) or has it back (true).
+  // Called when a client of the store has lost the store (false) or has it back
+  // (true).
   void OnStoreReachable(bool reachable);
 
   const TargetRegistry& registry() const { return registry_; }
@@ -103,7 +106,7 @@
 
  private:
   StateFeed::Handlers StoreHandlers();
-  // A peer knows a change of the list at this revision of the store.
+  // Called when a peer knows a change of the list at `revision`.
   void OnPeerRevision(StoreRevision revision);
   void Replace(const std::vector<StoreItem>& items);
   // An entry and the revision at which it was read.
@@ -135,7 +138,8 @@
   std::unique_ptr<Timer> missing_timer_;
   // The era of the list; unset until the list was read.
   std::optional<std::int64_t> era_;
-  // Entries of an older copy that may be those of targets that had left.
+  // Entries of an older copy of the store that may be those of targets that had
+  // left.
   std::map<TargetName, ReadEntry> unconfirmed_;
   std::unique_ptr<Timer> unconfirmed_timer_;
 };
