--- a/relay/admission.h
+++ b/relay/admission.h
@@ -41,7 +41,7 @@
   const ServiceMap* map = nullptr;
   const CallerDialect& dialect;
   const CallerRequest& request;
-  // Uniform in [0, 1); selects one of the route's services.
+  // Random number, uniform in [0, 1), that selects one of the route's services.
   double draw = 0;
   // The value of PlannedStop::LatestDeadline (relay/planned_stop.h).
   Instant latest_deadline = Instant::max();
--- a/relay/config_follower.h
+++ b/relay/config_follower.h
@@ -34,10 +34,10 @@
 // In a large fleet most routers don't follow the store but receive updates from
 // readers (relay/state_feed.h); the rules above apply to these updates as well.
 //
-// It owns the configuration in force and the feed of the store's prefix. It
-// uses `SharedStateReader` to read items, and its handlers to reach peers.
-// Store, reader and loop must outlive it. Errors are logged here and aren't
-// reported to the caller.
+// ConfigFollower owns the configuration in force and the feed of the store's
+// prefix. It uses `SharedStateReader` to read items, and its handlers to reach
+// peers. Store, reader and loop must outlive it. Errors are logged here and
+// aren't reported to the caller.
 
 #ifndef QUAYTRACK_RELAY_CONFIG_FOLLOWER_H_
 #define QUAYTRACK_RELAY_CONFIG_FOLLOWER_H_
--- a/relay/crash_watch.h
+++ b/relay/crash_watch.h
@@ -48,9 +48,9 @@
 // router reports, by CrashBlame::kMaxRequests for what it knows, and by one
 // write in `kWriteInterval`.
 //
-// It owns its reports, the feed and the running probes of targets. Reports that
-// can't be decoded are logged and left out. Loop, clock, store and chart must
-// outlive it.
+// CrashWatch owns this router's reports, the feed and the running probes of
+// targets. Reports that can't be decoded are logged and left out. Loop, clock,
+// store and chart must outlive it.
 
 #ifndef QUAYTRACK_RELAY_CRASH_WATCH_H_
 #define QUAYTRACK_RELAY_CRASH_WATCH_H_
@@ -210,7 +210,7 @@
 
   // This router's reports, as they are to be written to the store.
   CrashReports local_reports_;
-  // `local_reports_` has changed since the latest write.
+  // Whether `local_reports_` has changed since the latest write.
   bool needs_write_ = false;
   // Revision of this router's item in the store; 0 if there is none.
   StoreRevision local_revision_;
--- a/relay/dialect.h
+++ b/relay/dialect.h
@@ -35,7 +35,7 @@
 
 // The contents of a request's head.
 struct RequestFacts {
-  // Unique to one attempt of a caller; empty if the head has none.
+  // Id that is unique to one attempt of a caller; empty if the head has none.
   RequestId id;
   // How long the caller waits, from the request's first byte; unset if the head
   // doesn't state it.
@@ -56,7 +56,7 @@
   TargetName target;
   CustomerName customer;
   std::chrono::milliseconds time_left{};
-  // 0 is the most urgent.
+  // Priority of the request at the target; 0 is the most urgent.
   int priority = 0;
   // The id of the event after which a broken stream continues; empty to leave
   // the request's own header.
--- a/relay/events.h
+++ b/relay/events.h
@@ -17,10 +17,10 @@
 // counted, so the next target continues before the gap and no caller misses an
 // event.
 //
-// It owns the bytes of the incomplete event and the id of the last complete
-// one, and relies on ids that are integers and rise by one. Events without such
-// an id are forwarded as they are. There are no errors: bytes that are no event
-// stream are treated as one event that never completes.
+// EventReader owns the bytes of the incomplete event and the id of the last
+// complete one, and relies on ids that are integers and rise by one. Events
+// without such an id are forwarded as they are. There are no errors: bytes that
+// are no event stream are treated as one event that never completes.
 
 #ifndef QUAYTRACK_RELAY_EVENTS_H_
 #define QUAYTRACK_RELAY_EVENTS_H_
--- a/relay/final_answer.h
+++ b/relay/final_answer.h
@@ -8,12 +8,12 @@
 // The body is one line of JSON: {"error":"no_target","ran":"no"}.
 //
 // A refusal (`Ran::kNo`) guarantees that the request has not run and won't run.
-// It is sent as soon as that is known, so that the caller has the rest of its
-// time for another attempt. A 503 states when a retry is likely to succeed: the
-// shortest time after which the reason may have passed. Refusals that only the
-// caller can fix (400, 401, 402, 404) carry no Retry-After. Neither do answers
-// to requests that may have run (502, 504): whether to repeat those is the
-// caller's decision.
+// A refusal is sent as soon as that is known, so that the caller has the rest
+// of its time for another attempt. A 503 states when a retry is likely to
+// succeed: the shortest time after which the reason may have passed. Refusals
+// that only the caller can fix (400, 401, 402, 404) carry no Retry-After.
+// Neither do answers to requests that may have run (502, 504): whether to
+// repeat those is the caller's decision.
 
 #ifndef QUAYTRACK_RELAY_FINAL_ANSWER_H_
 #define QUAYTRACK_RELAY_FINAL_ANSWER_H_
--- a/relay/fleet_driver.h
+++ b/relay/fleet_driver.h
@@ -30,10 +30,10 @@
 // lack this router's entry, or have that of an earlier run; the entry is then
 // written again.
 //
-// It owns the directory. Calls to the store that fail are retried after
-// `kRetryAfter`, without limit; writing the entry twice does no harm. An entry
-// that can't be read is skipped and logged. Store and loop must outlive the
-// driver.
+// FleetDriver owns the directory. Calls to the store that fail are retried
+// after `kRetryAfter`, without limit; writing the entry twice does no harm. An
+// entry that can't be read is skipped and logged. Store and loop must outlive
+// the driver.
 
 #ifndef QUAYTRACK_RELAY_FLEET_DRIVER_H_
 #define QUAYTRACK_RELAY_FLEET_DRIVER_H_
@@ -97,7 +97,8 @@
   std::vector<FleetMember> OtherMembers(const StoreSnapshot& snapshot) const;
   void ScheduleCountRead();
   void Settle();
-  // Zero for a reader, or in a small fleet.
+  // Returns the random delay of a read, up to `ReadingSpread`; zero for a
+  // reader or in a small fleet.
   Duration DrawSpread();
   // Runs `step` after about `delay`, with jitter.
   void RunLater(Duration delay, void (FleetDriver::*step)());
--- a/relay/peer_mesh.h
+++ b/relay/peer_mesh.h
@@ -22,9 +22,10 @@
 // peer learns of a change even if the store doesn't notify it
 // (relay/config_follower.h, relay/target_follower.h).
 //
-// It owns the links and the listener. Messages aren't acknowledged and may be
-// lost with a link; a sender that needs an answer has to retry. A message that
-// can't be decoded is dropped and logged. Loop and clock must outlive the mesh.
+// PeerMesh owns the links and the listener. Messages aren't acknowledged and
+// may be lost with a link; a sender that needs an answer has to retry. A
+// message that can't be decoded is dropped and logged. Loop and clock must
+// outlive the mesh.
 
 #ifndef QUAYTRACK_RELAY_PEER_MESH_H_
 #define QUAYTRACK_RELAY_PEER_MESH_H_
--- a/relay/planned_stop.h
+++ b/relay/planned_stop.h
@@ -35,8 +35,8 @@
 // that aren't returned are charged as spent by the remaining routers. All other
 // time belongs to the requests: streams may need nearly all of it.
 //
-// It owns the chart's state and the timers; the handlers do everything else.
-// Times are those of the loop. It reports no errors.
+// PlannedStop owns the chart's state and the timers; the handlers do everything
+// else. Times are those of the loop. It reports no errors.
 
 #ifndef QUAYTRACK_RELAY_PLANNED_STOP_H_
 #define QUAYTRACK_RELAY_PLANNED_STOP_H_
@@ -83,7 +83,8 @@
 class PlannedStop {
  public:
   struct Handlers {
-    // From now on each answer is the last one of its connection.
+    // Called when the router turns unready: from then on, each answer is the
+    // last one of its connection.
     std::function<void()> report_unready;
     std::function<void()> stop_listening;
     // Closes the connections without a request. Called when `balancer_delay`
@@ -144,7 +145,7 @@
   std::unique_ptr<Timer> step_timer_;
   // Runs until requests have no more time, in either of the first two steps.
   std::unique_ptr<Timer> requests_timer_;
-  // Checks for returned grants.
+  // Runs until the next check for returned grants.
   std::unique_ptr<Timer> return_check_;
   std::unique_ptr<Timer> exit_timer_;
 };
--- a/relay/relay_chart.h
+++ b/relay/relay_chart.h
@@ -37,11 +37,11 @@
 
 enum class RelayState {
   kAdmitting,
-  // Waits for its worst case to be held of the budget.
+  // The request waits until its worst case is held of the budget.
   kAwaitingHold,
   // A target is being chosen; no attempt may have run the request.
   kChoosing,
-  // At a target; no earlier attempt may have run the request.
+  // The request is at a target; no earlier attempt may have run the request.
   kTrying,
   // As kChoosing and kTrying, but an earlier attempt may have run the request.
   kChoosingAgain,
--- a/relay/relay_router.h
+++ b/relay/relay_router.h
@@ -27,8 +27,8 @@
 // unready: otherwise callers would lose all routers at once, although each can
 // still serve requests for which it has budgets.
 //
-// It owns all of these parts. Interface, connections, store, charts and loop
-// must outlive it.
+// RelayRouter owns all of the parts above. Interface, connections, store,
+// charts and loop must outlive it.
 
 #ifndef QUAYTRACK_RELAY_RELAY_ROUTER_H_
 #define QUAYTRACK_RELAY_RELAY_ROUTER_H_
--- a/relay/relay_settings.h
+++ b/relay/relay_settings.h
@@ -50,9 +50,9 @@
   // Fraction of a budget's remaining tokens that all routers together keep
   // granted. docs/design/prepaid.md, "Measured", compares values.
   double standing_share = 0.3;
-  // In a fleet of up to this many routers, each keeps grants; in a larger one,
-  // this many in each hall do (fleet/fleet.h). docs/design/prepaid.md, "Large
-  // fleets", compares three and two a hall.
+  // In a fleet of up to `small_fleet` routers, each keeps grants; in a larger
+  // one, `holders_per_hall` routers in each hall do (fleet/fleet.h).
+  // docs/design/prepaid.md, "Large fleets", compares three and two a hall.
   int small_fleet = 12;
   int holders_per_hall = 3;
   // The region of each hall (fleet/hall_regions.h).
--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -87,7 +87,7 @@
       return AnswerCaller(Ran::kNo);
     case RelayAction::kFail:
       // Whatever ended the last attempt, a target that may have run the request
-      // has failed. Only kTimedOut and kStopped stay the cause.
+      // counts as failed. Only kTimedOut and kStopped stay the cause.
       if (cause_ != RelayCause::kTimedOut && cause_ != RelayCause::kStopped) {
         cause_ = RelayCause::kTargetFailed;
       }
@@ -292,8 +292,9 @@
   body_.append(bytes);
 }
 
-// Runs for every chunk of a stream, so it does as little as possible: only the
-// first event of an attempt goes through the chart.
+// Forwards complete events. This runs for every chunk of a stream, so it does
+// as little as possible: only the first event of an attempt goes through the
+// chart.
 void RelayedRequest::ForwardEvents(std::string_view bytes) {
   const StreamEvents events = events_.Take(bytes);
   if (events.out_of_order) {
--- a/relay/remote_holds.h
+++ b/relay/remote_holds.h
@@ -60,7 +60,7 @@
     Tokens amount = 0;
     // The holders to ask, in this order.
     std::vector<VmName> holders;
-    // Never called from within `RequestHold`.
+    // Called with the result, but never from within `RequestHold`.
     std::function<void(PrepaidVerdict)> done;
   };
 
--- a/relay/request_log.h
+++ b/relay/request_log.h
@@ -82,8 +82,8 @@
 // receive work.
 void LogSendHeldBack(const RequestId& id, const TargetEntry& target);
 
-// These log that an answer states that its target leaves, or that its target
-// accepts nothing from this router for `wait`.
+// The next two functions log that an answer states that its target leaves, or
+// that its target accepts nothing from this router for `wait`.
 void LogSaysLeaving(const RequestId& id, const TargetEntry& target);
 void LogBacksOff(const RequestId& id, const TargetEntry& target, Duration wait);
 
--- a/relay/retry.h
+++ b/relay/retry.h
@@ -55,7 +55,7 @@
   Duration left{};
   // Number of sends, including this attempt.
   int sends = 0;
-  // From the route: `RouteRule::Repeatable` and `max_attempts`.
+  // The route's `RouteRule::Repeatable` and `RouteRule::max_attempts`.
   bool repeatable = false;
   int max_attempts = 1;
 };
--- a/relay/rollout_driver.h
+++ b/relay/rollout_driver.h
@@ -28,9 +28,10 @@
 // A store that is back from an older copy of itself, in a later era
 // (kv/store.h), may lack the status; deciders write it again.
 //
-// It owns the roll-outs and its calls. Clock, store, reader and chart must
-// outlive it. An order of a version that no target runs is withdrawn when its
-// time is over. A peer's report on another order changes nothing.
+// RolloutDriver owns the roll-outs and its calls to the store. Clock, store,
+// reader and chart must outlive it. An order of a version that no target runs
+// is withdrawn when its time is over. A peer's report on another order changes
+// nothing.
 
 #ifndef QUAYTRACK_RELAY_ROLLOUT_DRIVER_H_
 #define QUAYTRACK_RELAY_ROLLOUT_DRIVER_H_
--- a/relay/served_holds.h
+++ b/relay/served_holds.h
@@ -39,8 +39,8 @@
   struct Handlers {
     // Whether this router's configuration has a budget for the customer.
     std::function<bool(const CustomerName&)> has_budget;
-    // These act on this router's grants. `hold` is answered through the
-    // waiter's callbacks.
+    // `hold`, `forget` and `settle` act on this router's grants. `hold` is
+    // answered through the waiter's callbacks.
     std::function<void(const HoldWaiterPtr&)> hold;
     std::function<void(const HoldWaiterPtr&)> forget;
     std::function<void(const CustomerName&, Tokens held, Tokens cost)> settle;
--- a/relay/state_feed.cc
+++ b/relay/state_feed.cc
@@ -22,7 +22,7 @@
 // than `kFreshFor`, so that routers don't switch back and forth.
 constexpr Duration kMaxHeartbeatAge = milliseconds(1000);
 
-// Added to each age in a peer's message, as the age doesn't include the
+// Time added to each age in a peer's message, as the age doesn't include the
 // transit. When fifteen readers pass an age on to each other, each sending once
 // a second, an age without this addition would come out younger by fifteen
 // transit times. With it the age grows unless a message takes longer; links of
@@ -103,8 +103,8 @@
   WaitForReaders(within);
 }
 
-// After `within`, a router that has items, and has not been shown to be current
-// since, follows the store from there.
+// Follows the store after `within`, from the items that this router has, unless
+// a reader has shown by then that this router is current or is sending pages.
 void StateFeed::WaitForReaders(Duration within) {
   start_timer_ = context_.loop.After(within, [this, within] {
     start_timer_.reset();
--- a/relay/state_feed.h
+++ b/relay/state_feed.h
@@ -13,10 +13,11 @@
 // for every wait that ends without a change: 295 routers made 11,000 to 30,000
 // calls in a 48 s simulation of a day, most of them for this. So a few routers
 // of each hall are its **readers**: the holders of the hall (fleet/fleet.h).
-// They follow from the list of routers, so none has to be appointed, and the
-// other routers are already linked to them. Readers follow the store and send
-// its changes to their hall and to each other. The other routers make no calls
-// while they receive them. The states are in chart/charts/feed.json.
+// The list of routers determines the readers, so none has to be appointed, and
+// the other routers are already linked to them. Readers follow the store and
+// send its changes to their hall and to each other. The other routers make no
+// calls while they receive these changes. The states are in
+// chart/charts/feed.json.
 //
 // The store remains the only authority. Updates carry the store's revisions and
 // take effect only if they start at or before the revision that is known here;
@@ -54,10 +55,10 @@
 // loss of the store, and the first heartbeat after it for its return, and
 // report both as a follower does; relay/target_follower.h depends on that.
 //
-// It owns the follower, the time up to which its state is current and, at
-// readers, all items. Loop, clock, store and chart must outlive it. An update
-// that is invalid or doesn't come from a reader changes nothing and is logged.
-// The next heartbeat makes up for lost updates.
+// StateFeed owns the follower, the time up to which its state is current and,
+// at readers, all items. Loop, clock, store and chart must outlive it. An
+// update that is invalid or doesn't come from a reader changes nothing and is
+// logged. The next heartbeat makes up for lost updates.
 
 #ifndef QUAYTRACK_RELAY_STATE_FEED_H_
 #define QUAYTRACK_RELAY_STATE_FEED_H_
--- a/relay/target_follower.cc
+++ b/relay/target_follower.cc
@@ -19,11 +19,12 @@
 // broke. With 1.7 s, 40 simulations of a day on each site broke no rule.
 constexpr Duration kRelistTime = std::chrono::milliseconds(1700);
 
-// From an answer with changes to the next wait. Targets change in series, when
-// a fleet starts or is replaced, and a router that starts a new wait after each
-// change makes a call for each. In one simulation, together with other changes,
-// this delay cut the store calls of a starting fleet from 5,917 to 4,124. It
-// does no harm, as a target announces that it leaves seconds before it ends.
+// Delay from an answer with changes to the next wait. Targets change in series,
+// when a fleet starts or is replaced, and a router that starts a new wait after
+// each change makes a call for each. In one simulation, together with other
+// changes, this delay cut the store calls of a starting fleet from 5,917 to
+// 4,124. It does no harm, as a target announces that it leaves seconds before
+// it ends.
 constexpr Duration kTargetSpacing = std::chrono::milliseconds(400);
 
 // How long a starting router waits for a reader to send the list. If all
--- a/relay/work_pacer.h
+++ b/relay/work_pacer.h
@@ -5,10 +5,10 @@
 //   Work();
 //   pacer.OnWork(started, clock.Now());
 //
-// After each run it pauses `rest` times as long as the run took, up to
-// `longest`. So a task that grows with the fleet, or that runs on a small share
-// of a processor, leaves the loop free for everything else, and a task that
-// takes almost no time isn't delayed. WorkPacer reads no clock.
+// After each run of the task, WorkPacer pauses `rest` times as long as the run
+// took, up to `longest`. So a task that grows with the fleet, or that runs on a
+// small share of a processor, leaves the loop free for everything else, and a
+// task that takes almost no time isn't delayed. WorkPacer reads no clock.
 
 #ifndef QUAYTRACK_RELAY_WORK_PACER_H_
 #define QUAYTRACK_RELAY_WORK_PACER_H_
