--- a/relay/dialect.h
+++ b/relay/dialect.h
@@ -35,7 +35,7 @@
 
 // The contents of a request's head.
 struct RequestFacts {
-  // Unique to one attempt of a caller; empty if the head has none.
+  // Id that is unique to one attempt of a caller; empty if the head has none.
   RequestId id;
   // How long the caller waits, from the request's first byte; unset if the head
   // doesn't state it.
@@ -56,7 +56,7 @@
   TargetName target;
   CustomerName customer;
   std::chrono::milliseconds time_left{};
-  // 0 is the most urgent.
+  // Priority of the request at the target; 0 is the most urgent.
   int priority = 0;
   // The id of the event after which a broken stream continues; empty to leave
   // the request's own header.
@@ -71,7 +71,8 @@
   bool not_run = false;
   // The target vouches for this answer.
   bool sealed = false;
-  // How much longer the target is slow; 0 if not stated.
+  // How much longer the target is cold, that is, slow after its start; 0 if not
+  // stated.
   std::chrono::milliseconds cold_for{0};
   // The target's rate limit, as stated in the head.
   RateStatement rate;
@@ -85,7 +86,7 @@
 class CallerDialect {
  public:
   virtual ~CallerDialect() = default;
-  // The error names the header that can't be read.
+  // Reads a request's head. The error names the header that can't be read.
   virtual boost::leaf::result<RequestFacts> Read(
       const HttpHead& head) const = 0;
 };
@@ -98,7 +99,7 @@
 class TargetDialect {
  public:
   virtual ~TargetDialect() = default;
-  // The head to send, including the empty line.
+  // Returns the head to send, including the empty line at its end.
   virtual std::string Head(const HttpHead& request, const SendFacts& facts,
                            std::size_t body_bytes) const = 0;
   virtual AnswerFacts Read(const HttpHead& head) const = 0;
@@ -124,7 +125,7 @@
   virtual ~SharedStateReader() = default;
   virtual std::string ConfigPrefix() const = 0;
   virtual std::string TargetsPrefix() const = 0;
-  // Null for an item that is not the configuration.
+  // Reads the configuration; returns null if the item isn't the configuration.
   virtual boost::leaf::result<ServiceMapPtr> Config(
       const StoreItem& item) const = 0;
   virtual boost::leaf::result<TargetEntry> Target(
--- a/relay/peer_mesh.h
+++ b/relay/peer_mesh.h
@@ -12,8 +12,8 @@
 // Opening a link. Either side may dial, and the first message of each side
 // names its sender (hello). If both dial, there are two links between them; a
 // message takes one of them. A VM runs one router, so a hello of another
-// incarnation of a VM closes the links to the one before it: its process has
-// ended.
+// incarnation (run of the router's process) on a VM closes the links to the
+// previous incarnation, whose process has ended.
 //
 // Losing a link. A cut sends no signal, so a link on which no message arrived
 // for `kMaxSilence` is closed, and dialled again if it is to be kept. Each
@@ -22,9 +22,10 @@
 // peer learns of a change even if the store doesn't notify it
 // (relay/config_follower.h, relay/target_follower.h).
 //
-// It owns the links and the listener. Messages aren't acknowledged and may be
-// lost with a link; a sender that needs an answer has to retry. A message that
-// can't be decoded is dropped and logged. Loop and clock must outlive the mesh.
+// PeerMesh owns the links and the listener. Messages aren't acknowledged and
+// may be lost with a link; a sender that needs an answer has to retry. A
+// message that can't be decoded is dropped and logged. Loop and clock must
+// outlive the mesh.
 
 #ifndef QUAYTRACK_RELAY_PEER_MESH_H_
 #define QUAYTRACK_RELAY_PEER_MESH_H_
@@ -51,7 +52,7 @@
     // Fills in a heartbeat with the state of this router; a hello also gets the
     // router's address.
     std::function<void(PeerMessage& heartbeat)> fill;
-    // The last link to a peer has closed.
+    // Called when the last link to a peer has closed.
     std::function<void(const Incarnation& peer)> lost;
   };
 
@@ -59,15 +60,15 @@
   // with kLocalWaitTime (relay/own_wait.h) it bounds how soon a router that the
   // store doesn't serve learns of a configuration: the limit is 2 s.
   static constexpr Duration kCheckInterval = std::chrono::milliseconds(1000);
-  // A random time to the first check: otherwise routers that start together
-  // would send their heartbeats together, and their peers would receive none in
-  // between.
+  // Returns a random time until the first check: otherwise routers that start
+  // together would send their heartbeats together, and their peers would
+  // receive none in between.
   static Duration DrawFirstCheck();
 
   PeerMesh(Loop& loop, const Clock& clock, Incarnation self, Handlers handlers,
            Duration first_check = kCheckInterval);
 
-  // Takes "host:port". Returns the bound port, or 0.
+  // Listens on `address`, "host:port". Returns the bound port, or 0 on failure.
   std::uint16_t Listen(const std::string& address);
   // Dials those of `members` to which no link is open, now and whenever a link
   // is lost. Links that peers opened stay.
--- a/relay/relay_chart.h
+++ b/relay/relay_chart.h
@@ -37,13 +37,13 @@
 
 enum class RelayState {
   kAdmitting,
-  // Waits for its worst case to be held of the budget.
+  // The request waits until its worst case is held of the budget.
   kAwaitingHold,
   // A target is being chosen; no attempt may have run the request.
   kChoosing,
-  // At a target; no earlier attempt may have run the request.
+  // The request is at a target; no earlier attempt may have run the request.
   kTrying,
-  // The same two states after an attempt that may have run.
+  // As kChoosing and kTrying, but an earlier attempt may have run the request.
   kChoosingAgain,
   kTryingAgain,
   // The target of this attempt has sent events, which were forwarded.
@@ -81,7 +81,7 @@
 enum class RelayAction {
   kNone,
   kTakeHold,
-  // Returns a hold that was granted after the end.
+  // Returns a hold that was granted after the request had ended.
   kReturnHold,
   kChoose,
   kSend,
--- a/relay/relay_router.h
+++ b/relay/relay_router.h
@@ -27,8 +27,8 @@
 // unready: otherwise callers would lose all routers at once, although each can
 // still serve requests for which it has budgets.
 //
-// It owns all of these parts. Interface, connections, store, charts and loop
-// must outlive it.
+// RelayRouter owns all of the parts above. Interface, connections, store,
+// charts and loop must outlive it.
 
 #ifndef QUAYTRACK_RELAY_RELAY_ROUTER_H_
 #define QUAYTRACK_RELAY_RELAY_ROUTER_H_
@@ -136,7 +136,7 @@
   PeerMesh peers_;
   RetryShares retries_;
   RunningRequests requests_;
-  // Used to choose among the services of a route.
+  // Chooses among the services of a route.
   std::minstd_rand random_{std::random_device{}()};
   const RelayContext context_;
   CallerServer caller_server_;
