--- a/config/service_map.cc
+++ b/config/service_map.cc
@@ -22,8 +22,8 @@
   }
 }
 
-// Prefixes end with a slash, so only parts of the path that end with one can
-// match.
+// Prefixes end with a slash, so only leading parts of the path that end with a
+// slash can match.
 const RouteRule* ServiceMap::Match(std::string_view host,
                                    std::string_view path) const {
   const auto routes = hosts_.find(host);
--- a/config/service_map.h
+++ b/config/service_map.h
@@ -10,9 +10,9 @@
 // running requests. The pointers that a map returns live as long as the map.
 //
 // The map owns the rules, relies on nothing and validates nothing;
-// platform/config_reader.h checks the rules before. Of two routes with the same
-// host and prefix, or two customers with the same key, the later one counts. A
-// lookup that finds nothing returns null.
+// platform/config_reader.h checks the rules before a map is made. Of two routes
+// with the same host and prefix, or two customers with the same key, the later
+// one counts. A lookup that finds nothing returns null.
 //
 // The defaults below apply to fields that the configuration leaves out.
 
@@ -54,9 +54,9 @@
 };
 
 struct RouteRule {
-  // For the log; may be empty.
+  // The route's name in the log; may be empty.
   std::string name;
-  // Without a port.
+  // The host that requests name, without a port.
   std::string host;
   // Begins and ends with a slash.
   std::string path_prefix;
@@ -66,19 +66,20 @@
   // The time within which a complete answer, or the first event of a stream,
   // counts as in time.
   std::chrono::milliseconds target_latency{1000};
-  // 0 is the most urgent.
+  // Urgency of the requests; 0 is the most urgent.
   int priority = 0;
-  // At least one entry. Each request goes to one, drawn by weight.
+  // The services of the route, at least one. Each request goes to one of them,
+  // drawn by weight.
   std::vector<ServiceShare> services;
   // Number of targets that one request may be sent to, including the first.
   int max_attempts = 1;
-  // Requests need no key.
+  // Whether requests need no key.
   bool open_to_all = false;
-  // A broken stream may be continued by another target.
+  // Whether another target may continue a broken stream.
   bool resumable = false;
   // The longest pause between events of a stream that is in time.
   std::chrono::milliseconds target_gap{0};
-  // Where its requests may be processed.
+  // Where the route's requests may be processed.
   Residency residency;
 
   // Whether a request may be run again although an earlier attempt may have
@@ -97,7 +98,7 @@
   // Tokens in one event of a stream.
   int event_tokens = 1;
   // How long a target is slow after a start, and the requests per second that
-  // it can serve meanwhile; 0 if no bound is known.
+  // it can serve meanwhile; `cold_per_s` is 0 if no bound is known.
   std::chrono::milliseconds cold_start{0};
   double cold_per_s = 0;
 
@@ -107,21 +108,23 @@
 struct CustomerRule {
   CustomerName name;
   std::vector<std::string> keys;
-  // 0 is the most urgent. It takes precedence over the route's priority.
+  // Urgency of the requests; 0 is the most urgent. This priority takes
+  // precedence over the route's.
   int priority = 0;
   // Total tokens that the customer may use, prompts and answers together;
   // negative if it has no budget.
   Tokens prepaid = -1;
-  // Where its requests may be processed; the route's residency applies as well.
+  // Where the customer's requests may be processed; the route's residency
+  // applies as well.
   Residency residency;
 };
 
 // Limits on what a caller may send, and on how long sending may take.
 struct RequestLimits {
-  // Of the request line and the headers.
+  // Bytes of the request line and the headers together.
   std::size_t max_head_bytes = 16 * 1024;
   std::size_t max_body_bytes = 4 * 1024 * 1024;
-  // From a request's first byte to the end of its head.
+  // The longest time from a request's first byte to the end of its head.
   std::chrono::milliseconds head_timeout{3000};
   // The longest time between two requests, and without progress inside a body.
   std::chrono::milliseconds idle_timeout{15000};
@@ -140,11 +143,12 @@
   // Without customers there are no keys, and every caller may use every route.
   bool needs_keys() const { return !customers_.empty(); }
 
-  // The route with the longest prefix of `path` among those of `host`; null if
-  // there is none.
+  // Returns, among the routes of `host`, the one with the longest prefix of
+  // `path`; null if there is none.
   const RouteRule* Match(std::string_view host, std::string_view path) const;
   // The customer that has this key; null if there is none.
   const CustomerRule* FindKey(const std::string& key) const;
+  // The service of this name; null if there is none.
   const ServiceRule* FindService(const ServiceName& name) const;
 
  private:
@@ -155,9 +159,9 @@
   std::vector<ServiceRule> services_;
   std::vector<CustomerRule> customers_;
   RequestLimits limits_;
-  // Positions in `routes_` by prefix, by host.
+  // For each host, positions in `routes_` by prefix.
   std::map<std::string, PrefixMap, std::less<>> hosts_;
-  // Positions in `customers_`.
+  // Positions in `customers_` by key.
   std::unordered_map<std::string, std::size_t> keys_;
 };
 
--- a/dispatch/crash_blame.h
+++ b/dispatch/crash_blame.h
@@ -2,7 +2,7 @@
 //
 //   CrashBlame blame;
 //   blame.Note({fingerprint, start, wall_now, run_time}, wall_now);
-//   blame.NoteRan(fingerprint, at, wall_now);
+//   blame.NoteRan(fingerprint, at, wall_now);   // ran well at `at`
 //   if (blame.IsBlamed(fingerprint)) ...        // refuse the request
 //
 // A target that crashes loses all its requests, up to as many as it has slots,
@@ -15,9 +15,8 @@
 //   1. If a request later ran at a target to its end, or well past its
 //      beginning, its earlier reports do not count.
 //   2. Of the requests with at least `kCrashesToBlame` crashes, the one with
-//   the
-//      most crashes is blamed; on a tie, the one with the shortest total run
-//      time.
+//      the most crashes is blamed; on a tie, the one with the shortest total
+//      run time.
 //   3. The crashes of a blamed request are explained and count against no other
 //      request. Step 2 is repeated with the remaining crashes.
 //
@@ -32,7 +31,8 @@
 // s, which leaves at most three targets up.
 //
 // Memory is bounded (`kMaxRequests`). Requests that never return have one
-// report each and are evicted first. A report counts for `kCrashMemory`.
+// report each and are evicted first. A report counts for the time
+// `kCrashMemory`.
 //
 // Times are wall-clock times of the reporting routers, because reports outlive
 // processes and boots. An error of a few seconds has no effect. A time in the
@@ -58,12 +58,12 @@
 // limit.
 inline constexpr std::size_t kCrashesToBlame = 3;
 
-// How long a report counts. It bounds how long a caller is refused by a wrong
+// How long a report counts. This bounds how long a caller is refused by a wrong
 // decision, and the cost of a harmful request: three targets in each such
 // period.
 inline constexpr std::chrono::milliseconds kCrashMemory = std::chrono::hours(1);
 
-// A target ended while a request had just begun to run there.
+// Reports that a target ended while a request had just begun to run there.
 struct CrashReport {
   Fingerprint request;
   TargetStart target;
@@ -74,8 +74,8 @@
   bool operator==(const CrashReport&) const = default;
 };
 
-// A request with crash reports later ran to its end, or well past its
-// beginning.
+// Reports that a request with crash reports later ran to its end, or well past
+// its beginning.
 struct RanReport {
   Fingerprint request;
   WallTime at{};
@@ -89,15 +89,16 @@
   // reports is evicted; on a tie, the one with the oldest latest report. At
   // some 150 bytes a report and one or two reports a request, this is 0.3 MB.
   // Twelve targets that crash every few seconds cause a few reports a second,
-  // so it holds some minutes of requests that never return.
+  // so requests that never return are remembered for some minutes.
   static constexpr std::size_t kMaxRequests = 1024;
   // Bound on reports of one request; further ones would not change a decision.
   static constexpr std::size_t kMaxReports = 16;
 
-  // Returns whether the report was new. `now` is the receiver's wall clock.
+  // Adds a report. Returns whether it was new. `now` is the receiver's wall
+  // clock.
   bool Note(const CrashReport& report, WallTime now);
-  // The request ran well (see `RanReport`) at `at`. Ignored if the request has
-  // no report.
+  // Notes that the request ran well (see `RanReport`) at `at`. Does nothing if
+  // the request has no report.
   void NoteRan(const Fingerprint& request, WallTime at, WallTime now);
   // Adds many reports and evaluates once. A router that starts receives up to
   // 64 reports from each other router, mostly about few requests.
@@ -114,8 +115,8 @@
   bool IsSuspected(const Fingerprint& request) const {
     return Crashes(request) > 0;
   }
-  // Crashes that count against the request, including those explained by
-  // another request.
+  // Number of crashes that count against the request, including crashes that
+  // are explained by another request.
   std::size_t Crashes(const Fingerprint& request) const;
   std::vector<TargetStart> TargetsOf(const Fingerprint& request) const;
   // How long the request stays blamed if no more reports arrive.
@@ -132,11 +133,12 @@
   struct Candidate {
     Fingerprint request;
     std::size_t crashes = 0;
-    // Total over the crashes that count.
+    // Total run time before the crashes in `crashes`.
     Duration run_time{};
   };
 
-  // These do not evaluate. Return whether anything changed.
+  // `Add` and `AddRan` add a report without evaluating, and return whether
+  // anything changed.
   bool Add(const CrashReport& report, WallTime now);
   bool AddRan(const RanReport& report, WallTime now);
   static bool CountsAgainst(const Suspect& it, const CrashReport& report) {
--- a/dispatch/link_watch.h
+++ b/dispatch/link_watch.h
@@ -20,8 +20,9 @@
 // second. The link's capacity is a setting (--link-mbps); without it, the link
 // is never busy. The log event `link_busy` reports each change.
 //
-// With these thresholds and a headroom (--cover-s) of 10 s, introduced
-// together, the score of one benchmark day rose from 0.346 to 0.546.
+// With the thresholds below and a headroom (--cover-s) of 10 s, introduced
+// together, callers got 0.546 of what they are owed in a simulation of a day,
+// up from 0.346.
 //
 // Owns its last totals and the smoothed load; cannot fail.
 
@@ -36,10 +37,10 @@
 namespace quaytrack {
 
 struct LinkWatchOptions {
-  // Bytes a second in each direction; 0 if unknown.
+  // Capacity of the link in each direction, in bytes a second; 0 if unknown.
   double bytes_per_s = 0;
-  // Thresholds of the load: busy from the first, no longer busy below the
-  // second; 1 is full.
+  // Thresholds of the load: the link becomes busy at `busy`, and stops being
+  // busy below `eased`; 1 is full.
   double busy = 0.6;
   double eased = 0.45;
   // Time constant of the smoothing.
@@ -50,7 +51,7 @@
  public:
   explicit LinkWatch(LinkWatchOptions options) : options_(options) {}
 
-  // Takes the bytes carried since the start. Returns whether `IsBusy` has
+  // Takes the running totals of bytes carried. Returns whether `IsBusy` has
   // changed. The first call only sets the reference for the next one.
   bool Observe(Instant now, double bytes_in, double bytes_out) {
     if (options_.bytes_per_s <= 0) return false;
@@ -72,7 +73,7 @@
   }
 
   bool IsBusy() const { return busy_; }
-  // Smoothed; 1 is full.
+  // The smoothed load; 1 is full.
   double load() const { return load_; }
 
  private:
--- a/dispatch/outlier_ejection.cc
+++ b/dispatch/outlier_ejection.cc
@@ -14,8 +14,8 @@
 constexpr double kFailureHalfLife = 3.0;
 // Consecutive failures that eject a target.
 constexpr int kFailuresToEject = 3;
-// Duration of the first ejection. Each further failure doubles it, at most
-// `kMaxDoublings` times, which is 4 s.
+// Duration of the first ejection. Each further failure doubles the duration, at
+// most `kMaxDoublings` times, which is 4 s.
 constexpr Duration kFirstEjection = std::chrono::milliseconds(500);
 constexpr int kMaxDoublings = 3;
 
--- a/dispatch/outlier_ejection.h
+++ b/dispatch/outlier_ejection.h
@@ -8,9 +8,10 @@
 //
 // Two measures are combined, since either alone reacts too slowly or too
 // quickly. The failure share raises the cost of a target that fails now and
-// then. It decays, so that a target that gets no requests is tried again.
-// Consecutive failures eject the target for a while (outlier ejection, as in
-// Envoy); each further failure doubles the time, and one success ends it.
+// then. The share decays, so that a target that gets no requests is tried
+// again. Consecutive failures eject the target for a while (outlier ejection,
+// as in Envoy); each further failure doubles the time, and one success ends the
+// ejection.
 //
 // Each router uses only the outcomes of its own requests. An ejected target is
 // not forbidden: `Placement` chooses one when all other candidates are ejected
@@ -35,7 +36,7 @@
   bool IsEjected(Instant now) const { return now < ejected_until_; }
 
  private:
-  // At `recorded_at_`.
+  // The failure share at the time `recorded_at_`.
   double failure_share_ = 0;
   Instant recorded_at_{};
   int consecutive_failures_ = 0;
--- a/dispatch/placement.cc
+++ b/dispatch/placement.cc
@@ -14,9 +14,9 @@
 // The charges of the rule in placement.h.
 
 // Milliseconds for each running request of an engine, and for an engine that is
-// not the preferred one; the latter keeps equal costs from spreading a part
-// over all engines. Of 0, 80 and 150 ms, 150 ms made engines prefill the fewest
-// shared tokens again and gave callers the most credit.
+// not the preferred one. `kNotPreferredMs` keeps equal costs from spreading a
+// part over all engines. Of 0, 80 and 150 ms, 150 ms made engines prefill the
+// fewest shared tokens again and gave callers the most of what they are owed.
 constexpr double kPerRunningMs = 3;
 constexpr double kNotPreferredMs = 150;
 // Milliseconds for a target in another hall.
@@ -31,15 +31,15 @@
 // Bound on the ratio of actual to expected time of one answer. Most answers
 // that take longer waited for prompts of other routers, which shows nothing
 // about the target. With 20, prompts left the engines that had their parts
-// cached, and callers got 0.006 to 0.011 less of what they are owed; 1 to 2
-// differ by less than the spread.
+// cached, and callers got 0.006 to 0.011 less of what they are owed; bounds
+// from 1 to 2 differ by less than the spread between runs.
 constexpr double kMaxSlowness = 2;
 
 // Peers are notified of a prompt that keeps its engine busy for this fraction
 // of the pause that streams may make; a shorter time is no reason to choose
 // another engine.
 constexpr double kReportedPauseShare = 0.1;
-// Bound in milliseconds on the busy time from reports of peers, so that they
+// Bound in milliseconds on the busy time from reports of peers, so that reports
 // never exclude an engine for long.
 constexpr double kMaxPeerBusyMs = 3000;
 
@@ -48,13 +48,15 @@
 // ended costs its target little.
 constexpr Duration kProbeAfter = std::chrono::seconds(2);
 
-// When a version is listed for the first time, the operators' order on it is
-// known within this time: both are read from the store, one after the other.
+// When a version is listed for the first time, the operators' order about the
+// version is known within this time: targets and orders are read from the
+// store, one after the other.
 constexpr Duration kOrderKnownWithin = std::chrono::milliseconds(1000);
 // Minimum number of targets that serve the share of the next version.
 constexpr std::size_t kMinShareTargets = 2;
 
-// Candidates are compared by these members in this order; the least is chosen.
+// Candidates are compared by the members of Rank in their order; the least
+// candidate is chosen.
 struct Rank {
   bool is_ejected = false;
   bool is_no_probe_due = false;
@@ -100,7 +102,8 @@
     State& state = it->second;
     const bool restarted = !is_new && state.entry.start != entry.start;
     const bool cold_changed = is_new || state.entry.cold_for != entry.cold_for;
-    // Nothing that is known of the previous start is true of the new one.
+    // Of what is known of the previous start, only a recent limit or pause may
+    // be true of the new one.
     if (restarted) {
       rate_limits_.OnRestart(now, state.entry.start, entry.start);
       back_offs_.OnRestart(now, state.entry.start, entry.start);
@@ -406,8 +409,9 @@
   return out;
 }
 
-// All versions in the first list of a service existed before this router
-// started, so they need not wait.
+// Notes when the version of a target was first listed. All versions in the
+// first list of a service existed before this router started, so they need not
+// wait.
 void Placement::NoteVersion(Instant now, State& state) {
   ServiceVersions& known = versions_[state.entry.service];
   if (known.since.empty()) known.first_listed_at = now;
@@ -433,7 +437,8 @@
   });
 }
 
-// A request that was already sent to the next version is retried at the others.
+// Which version gets the request. A request that was already sent to the next
+// version is retried at the others.
 VersionTurn Placement::TurnOf(const PlacementRequest& request,
                               const VersionGate& gate) const {
   const VersionTurn turn = gate.Turn();
@@ -456,9 +461,10 @@
   });
 }
 
-// A version that gets a share of the requests gets it at the same share of
-// targets, so that each bears the same load as the other targets. All routers
-// choose the same targets.
+// Chooses the targets of the next version that serve its share of the requests.
+// Their number is the same share of the number of other targets, but at least
+// `kMinShareTargets`, so that each bears about the same load as any other
+// target. All routers choose the same targets.
 void Placement::ChooseShareTargets(const ServiceName& service) {
   const VersionGate& gate = GateOf(service);
   std::vector<std::pair<std::uint64_t, State*>> next;
--- a/dispatch/placement.h
+++ b/dispatch/placement.h
@@ -5,24 +5,26 @@
 //   const auto choice = placement.Choose(now, request);
 //   Tokens prefill = placement.OnSent(now, choice->target.name, request,
 //                                     choice->is_preferred);
-//   placement.OnAnswering(name, prefill, waited);     // a first event
+//   placement.OnAnswering(name, prefill, waited);     // first event received
 //   placement.OnEnded(now, name, 0, PlacementOutcome::kGood);
 //
+// A start of a target is one run of its process (TargetStart).
+//
 // Rule. A target is excluded if it is leaving or its hall is closed
-// (`AcceptsWork`), if the request may not be processed in its region
-// (base/residency.h), or if it had the request before. It is also excluded
-// while a pause that it requested lasts (dispatch/back_off.h), and, if it is
-// cold or has announced a rate limit (dispatch/rate_limits.h), unless this
-// router may send there (dispatch/shared_rate.h); then it competes like any
-// other. While operators move a service to another version, a request goes to
-// targets of the version that is next (dispatch/version_gate.h). If others can
-// serve, a version that is listed for the first time beside others gets no
-// requests until an order of the operators about it would be known. A target
-// whose limit was last confirmed a while ago comes first if this router may
-// send to it, because only its answer can show that the limit has ended. Of the
-// others, ejected targets (dispatch/outlier_ejection.h) are used only if all
-// are ejected. Among equals, the target with the lowest expected cost in
-// milliseconds is chosen:
+// (`AcceptsWork`), if the request may not be processed in the target's region
+// (base/residency.h), or if the request was sent there before. A target is also
+// excluded while a pause that it requested lasts (dispatch/back_off.h), and, if
+// it is cold or has announced a rate limit (dispatch/rate_limits.h), unless
+// this router may send there (dispatch/shared_rate.h); then the target competes
+// like any other. While operators move a service to another version, a request
+// goes to targets of the version whose turn it is (dispatch/version_gate.h). If
+// targets of other versions can serve, a version that is listed for the first
+// time beside others gets no requests until an order of the operators about the
+// version would be known. A target whose limit was last confirmed a while ago
+// comes first if this router may send to it, because only its answer can show
+// that the limit has ended. Of the other targets, ejected ones
+// (dispatch/outlier_ejection.h) are used only if all are ejected. Among equals,
+// the target with the lowest expected cost in milliseconds is chosen:
 //
 //   engines         (tokens to be prefilled there x learned time per token
 //                    (dispatch/prefill_speed.h)
@@ -31,7 +33,7 @@
 //                    + base time) x slowness
 //   other services  (running requests / slots x base time
 //                    + base time) x slowness
-//   both            + a charge for another hall + failure share x its charge
+//   all services    + a charge for another hall + failure share x its charge
 //
 // The charges and their units are at the top of placement.cc. The log event
 // `relay_ended` shows what decided: `target`, `home` (whether it was the
@@ -47,22 +49,23 @@
 // prompts, so it does not see most of what a prompt would wait behind. In a
 // fleet where all routers are linked, each notifies the others of a prompt that
 // keeps an engine busy, and they charge the time until it is done. This gained
-// 0.006 to 0.011 of what callers are owed on days with trouble. Cached parts
-// are not reported, because that gained nothing. The learned speed is part of
-// this; it gained 0.008 to 0.019 over a fixed speed of 50 tokens in a
-// millisecond on engines that prefill 32.
+// 0.006 to 0.011 of what callers are owed on days with faults. Cached parts are
+// not reported, because reporting them gained nothing. The time charged is
+// derived from the learned speed, which gained 0.008 to 0.019 over a fixed
+// speed of 50 tokens in a millisecond on engines that prefill 32.
 //
-// Not done: dedicated engines for long prompts. It served a tenth more short
+// Not done: dedicated engines for long prompts. They served a tenth more short
 // prompts in time but a twentieth fewer long ones, which are more urgent
 // (docs/policy/).
 //
 // Why a preferred target: a router knows only what its own requests left in an
 // engine's cache. To make routers agree without communication, the prompt's
 // deepest shared part has a preferred target: the first in a rendezvous order
-// (Thaler and Ravishankar 1998) of the warm targets that may get work. It is
-// assumed to have all shared parts cached. Under load, waiting there costs more
-// than prefilling the parts elsewhere, so the load of one target is bounded, as
-// in consistent hashing with bounded loads (Mirrokni et al. 2018).
+// (Thaler and Ravishankar 1998) of the warm targets that may get work. The
+// preferred target is assumed to have all shared parts cached. Under load,
+// waiting there costs more than prefilling the parts elsewhere, so the load of
+// one target is bounded, as in consistent hashing with bounded loads (Mirrokni
+// et al. 2018).
 //
 // Owns what this router knows of each target. Relies on the list of targets
 // (fleet/target_registry.h) and on notification of each send and each end. A
@@ -70,8 +73,8 @@
 // Nothing here fails; the only negative result is that there is no target.
 //
 // `quaytrack router` uses route/target_book.h instead: its targets report their
-// load, there are many of them, and it samples a few. Here targets report no
-// load, and all are compared.
+// load, there are many of them, and it samples a few. The targets of `quaytrack
+// relay`, which uses Placement, report no load, and all are compared.
 
 #ifndef QUAYTRACK_DISPATCH_PLACEMENT_H_
 #define QUAYTRACK_DISPATCH_PLACEMENT_H_
@@ -118,7 +121,7 @@
 
 struct PlacementRequest {
   ServiceName service;
-  // Empty for services other than engines.
+  // The parts of the prompt; empty for services other than engines.
   std::vector<PromptPart> parts;
   Tokens prompt_tokens = 0;
   // The longest pause between events with which an answer is in time; 0 means
@@ -126,7 +129,7 @@
   Duration pause_limit{};
   // Where the request may be processed.
   Residency residency;
-  // Targets that had the request and must not be chosen again.
+  // Targets that the request was sent to and that must not be chosen again.
   std::set<TargetName> tried;
 
   bool ForEngine() const { return prompt_tokens > 0; }
@@ -145,11 +148,12 @@
 struct PlacementChoice {
   TargetEntry target;
   double cost_ms = 0;
-  // The target is preferred for the prompt's deepest shared part.
+  // Whether the target is preferred for the prompt's deepest shared part.
   bool is_preferred = false;
   // Expected time until the first event; 0 for services other than engines.
   double first_event_ms = 0;
-  // The target is cold, or has a rate limit, and this router may send there.
+  // Whether the target is cold, and whether it has a rate limit; in both cases
+  // this router may send there.
   bool is_cold = false;
   bool is_limited = false;
 };
@@ -163,28 +167,29 @@
         regions_(std::move(regions)),
         rates_(std::move(rates)) {}
 
-  // Keeps what is known of targets that stay. Of a target that has restarted,
-  // it keeps only that it is cold, and a recent rate limit or pause. `now` is
-  // when `entries` were read.
+  // Replaces the list of targets, and keeps what is known of targets that stay.
+  // Of a target that has restarted, it keeps only that it is cold, and a recent
+  // rate limit or pause. `now` is when `entries` were read.
   void SetTargets(Instant now,
                   const std::map<TargetName, TargetEntry>& entries);
 
-  // Halls that are closed to new work (fleet/closed_halls.h). The targets of a
-  // hall that is reopened count as cold, because they were idle.
+  // Sets the halls that are closed to new work (fleet/closed_halls.h). The
+  // targets of a hall that is reopened count as cold, because they were idle.
   void SetClosedHalls(Instant now, std::set<HallName> halls);
 
-  // How targets behave while cold, by service. Without a rule they are treated
-  // like warm ones.
+  // Sets how targets behave while cold, by service. Cold targets of a service
+  // without a rule are treated like warm ones.
   void SetColdRules(std::map<ServiceName, ColdRule> rules) {
     cold_rules_ = std::move(rules);
   }
-  // How a service moves to another version. `offset` in [0, 1) is the initial
-  // value of the count of this router (dispatch/version_gate.h).
+  // Sets how a service moves to another version. `offset`, in [0, 1), is added
+  // to the number of requests that are due to the next version
+  // (dispatch/version_gate.h).
   void SetVersionRule(const ServiceName& service, VersionRule rule,
                       double offset);
   // Whether some target of the version may get work.
   bool HasVersion(const ServiceName& service, const VersionName& version) const;
-  // This router's requests that run at other versions of the service.
+  // Number of this router's requests that run at other versions of the service.
   std::size_t RunningAtOtherVersions(const ServiceName& service,
                                      const VersionName& version) const;
 
@@ -195,9 +200,9 @@
       std::function<std::optional<RendezvousPlace>(const TargetStart&)>;
   void SetPlaceLookup(PlaceLookup place_lookup);
 
-  // Whether further requests may be sent to a target: this start of it is
-  // listed, it is not leaving, and its hall is not closed. Every rule that
-  // keeps work from a target permanently belongs here.
+  // Whether further requests may be sent to a target: this start of the target
+  // is listed, the target is not leaving, and its hall is not closed. Every
+  // rule that keeps work from a target permanently belongs here.
   bool IsOpenToWork(const TargetEntry& target) const;
   // Whether a request may still be sent as it was chosen. Checked again just
   // before its bytes are written if it had to wait for its connection.
@@ -208,70 +213,76 @@
   // earlier start, which has ended, does not apply to the current one.
   bool IsListed(const TargetEntry& target) const;
 
-  // std::nullopt if no target of the service may get the request. Costs one
-  // hash and one comparison for each target.
+  // Returns the target that gets the request; std::nullopt if no target of the
+  // service may get it. Costs one hash and one comparison for each target.
   std::optional<PlacementChoice> Choose(Instant now,
                                         const PlacementRequest& request) const;
 
-  // The next four functions explain why there is no choice. Some target could
-  // get the request, but is cold.
+  // The next four functions explain why there is no choice.
+  //
+  // Whether some target could get the request, but is cold.
   bool HasCold(Instant now, const PlacementRequest& request) const;
-  // Some target could get the request, but has a rate limit or has asked for a
-  // pause.
+  // Whether some target could get the request, but has a rate limit or has
+  // asked for a pause.
   bool HasLimited(Instant now, const PlacementRequest& request) const;
-  // Some target could get the request if its hall were not closed.
+  // Whether some target could get the request if its hall were not closed.
   bool IsClosedOff(const PlacementRequest& request) const;
-  // Some target could get the request if it were not bound to regions.
+  // Whether some target could get the request if the request were not bound to
+  // regions.
   bool IsOutsideResidency(const PlacementRequest& request) const;
 
-  // Returns the tokens that the target is expected to prefill for the request;
-  // 0 for services other than engines. `is_preferred` is from `Choose`.
+  // Notes that a request was sent to the target. Returns the tokens that the
+  // target is expected to prefill for the request; 0 for services other than
+  // engines. `is_preferred` is from `Choose`.
   Tokens OnSent(Instant now, const TargetName& name,
                 const PlacementRequest& request, bool is_preferred);
-  // The answer began `waited` after the send, so the prompt has been prefilled.
-  // `prefill` is the result of OnSent.
+  // Notes that an answer began `waited` after the request was sent, so the
+  // prompt has been prefilled. `prefill` is the result of OnSent.
   void OnAnswering(const TargetName& name, Tokens prefill, Duration waited);
-  // The target has answered a request that was sent at `sent_at`.
+  // Notes that the target has answered a request that was sent at `sent_at`.
   void OnAlive(Instant now, const TargetName& name, Instant sent_at);
-  // Connections to the address were closed for no known reason.
+  // Notes that connections to the address were closed for no known reason.
   void OnConnectionsLost(Instant now, const std::string& address);
-  // The target has announced that it stays cold for `remaining`.
+  // Notes that the target has announced that it stays cold for `remaining`.
   void OnCold(Instant now, const TargetName& name, Duration remaining);
-  // The target has asked this router to pause for `wait`.
+  // Notes that the target has asked this router to pause for `wait`.
   void OnBackOff(Instant now, const TargetStart& target, Duration wait);
-  // The target has announced in an answer that it is leaving. That answer may
-  // have come from its next start, so the next start gets no requests until
-  // `kMaxEntryDelay` has passed.
+  // Notes that the target has announced in an answer that it is leaving. The
+  // target may have restarted before that answer, so after its next restart it
+  // gets no requests either until `kMaxEntryDelay` has passed since the answer.
   void OnLeavingAnnounced(Instant now, const TargetEntry& target);
-  // What an answer to a request that was sent at `sent_at` states about the
-  // rate limit of its target. Returns whether the limit has changed.
+  // Takes what an answer to a request that was sent at `sent_at` states about
+  // the rate limit of its target. Returns whether the limit has changed.
   bool OnRate(Instant now, const TargetStart& target, Instant sent_at,
               const RateStatement& statement);
   // Takes the rate limits that a peer knows. Returns the targets whose limit
   // has changed.
   std::vector<TargetStart> OnRateReports(Instant now,
                                          const RateReports& reports);
-  // Reports for the peers (dispatch/rate_limits.h).
+  // Returns the reports that are due to the peers (dispatch/rate_limits.h).
   RateReports TakeUnreportedRates(Instant now, bool forwards) {
     return rate_limits_.TakeUnreported(now, forwards);
   }
   const RateLimits& rate_limits() const { return rate_limits_; }
-  // `prefill` is the result of OnSent, or 0 after OnAnswering.
+  // Notes that a request has ended at the target. `prefill` is the result of
+  // OnSent, or 0 after OnAnswering.
   void OnEnded(Instant now, const TargetName& name, Tokens prefill,
                PlacementOutcome outcome);
 
-  // A peer sent the target a prompt of which `prefill` tokens are not cached.
+  // Notes that a peer sent the target a prompt of which `prefill` tokens are
+  // not cached.
   void OnPeerSent(Instant now, const TargetName& name, Tokens prefill);
   // Whether to notify peers of a prompt of which `prefill` tokens are not
-  // cached: whether it keeps an engine busy for a time that matters to others.
+  // cached, because it keeps an engine busy for a time that matters to them.
   bool IsWorthReporting(const PlacementRequest& request, Tokens prefill) const;
 
-  // Targets that have become cold or warm since the last call.
+  // A target that has become cold or warm.
   struct ColdChange {
     TargetName target;
     bool cold = false;
     ColdSign reason = ColdSign::kEntry;
   };
+  // Returns the targets that have become cold or warm since the last call.
   std::vector<ColdChange> ColdChanges(Instant now);
   // Number of targets that are cold.
   std::size_t cold(Instant now) const;
@@ -286,28 +297,31 @@
   // What this router knows of one target.
   struct State {
     TargetEntry entry;
-    // Region of its hall; empty if unknown.
+    // Region of the target's hall; empty if unknown.
     RegionName region;
     bool hall_closed = false;
-    // When its version was first listed.
+    // When the target's version was first listed; `Instant::min()` for versions
+    // in the first list of the service.
     Instant version_since = Instant::min();
-    // Is one of the targets of the next version that get its share of the
-    // requests.
+    // Whether the target is one of those that get the next version's share of
+    // the requests.
     bool serves_share = false;
     TargetWarmth warmth;
-    // As `ColdChanges` last reported.
+    // Whether the target was cold when `ColdChanges` was last called.
     bool reported_cold = false;
-    // For this start; looked up when it is needed.
+    // This router's place in the rendezvous order of this start; looked up when
+    // it is needed.
     mutable std::optional<RendezvousPlace> place;
-    // This router sends it no requests before this time.
+    // This router sends the target no requests before this time.
     Instant pause_until{};
-    // From `rate_limits_`.
+    // The target's limit in `rate_limits_`.
     std::optional<double> limit_per_s;
-    // This router's requests that are running there.
+    // Number of this router's requests that are running at the target.
     int running = 0;
-    // Tokens that it still has to prefill for them.
+    // Prompt tokens of this router's requests that the target still has to
+    // prefill.
     Tokens prefill = 0;
-    // When it will have prefilled what peers sent.
+    // When the target will have prefilled what peers sent.
     Instant peers_busy_until{};
     // Ratio of actual to expected answer times, smoothed; 1 or more.
     double slowness = 1;
@@ -315,14 +329,15 @@
     PrefixCache prefixes;
   };
 
-  // What one choice needs to compare targets; looked up once for all.
+  // What one choice needs to compare targets; looked up once for all targets.
   struct ChoiceContext {
     Instant now{};
     const PlacementRequest& request;
     const PrefillSpeed& speed;
     const VersionGate& gate;
     VersionTurn turn = VersionTurn::kAny;
-    // Leaves out targets of versions that were listed a moment ago.
+    // Whether to leave out targets of versions that were first listed a moment
+    // ago.
     bool only_ready_versions = false;
     const State* preferred = nullptr;
 
@@ -333,13 +348,13 @@
   static bool AcceptsWork(const State& state) {
     return !state.entry.leaving && !state.hall_closed;
   }
-  // Whether the request could go there in the present state of targets and
-  // halls.
+  // Whether the request could go to the target in the present state of targets
+  // and halls.
   static bool IsEligible(const State& state, const PlacementRequest& request) {
     return state.entry.service == request.service && AcceptsWork(state) &&
            request.residency.Allows(state.region);
   }
-  // Null if this start of the target is not listed.
+  // Returns null if this start of the target is not listed.
   const State* Find(const TargetEntry& target) const;
   bool IsCold(Instant now, const State& state) const;
   const std::optional<RendezvousPlace>& LocalPlace(const State& state) const;
@@ -348,18 +363,19 @@
   // Checks the pause, cold and limit rules together.
   bool MaySend(Instant now, const State& state) const;
   bool IsProbeDue(Instant now, const State& state) const;
-  // Restores the known limit and pauses of a target that is listed for the
-  // first time in this start, or again.
+  // Restores the known limit and pauses of a target whose start is listed for
+  // the first time, or again.
   void RestoreLimits(Instant now, const TargetEntry& entry, State& state);
   // Copies a changed limit from `rate_limits_`.
   void NoteLimit(const TargetStart& target);
-  // The default rule if the service has none.
+  // The cold rule of the service; the default rule if it has none.
   const ColdRule& RuleOf(const ServiceName& service) const;
-  // For a service without answers, the initial values or those of peers.
+  // The prefill speed of the service; the initial values or those of peers if
+  // there were no answers.
   const PrefillSpeed& SpeedOf(const ServiceName& service) const;
   static double FirstEventMs(const State& state, const ChoiceContext& context);
   static double EngineMs(const State& state, const ChoiceContext& context);
-  // Milliseconds until what peers sent there is prefilled; 0 or more.
+  // Milliseconds until the target has prefilled what peers sent; 0 or more.
   static double PeerPrefillMs(Instant now, const State& state);
   static double QueueMs(const State& state);
   double Cost(const State& state, const ChoiceContext& context) const;
@@ -387,13 +403,15 @@
   PlacementRates rates_;
   RateLimits rate_limits_;
   BackOffs back_offs_;
-  // By name; only those of the last `kMaxEntryDelay`.
+  // A target's announcement that it is leaving.
   struct LeavingNotice {
     TargetStart start;
     Instant at{};
   };
+  // The latest announcement of each target within `kMaxEntryDelay`.
   std::map<TargetName, LeavingNotice> leaving_notices_;
-  // This router owns no target before it is set.
+  // While this is unset, no place is known, so this router sends nothing to
+  // targets that accept few requests.
   PlaceLookup place_lookup_;
   std::map<ServiceName, VersionGate> gates_;
   // When each version of a service was first listed.
@@ -402,9 +420,9 @@
     std::map<VersionName, Instant> since;
   };
   std::map<ServiceName, ServiceVersions> versions_;
-  // The latest of those times.
+  // The latest time in `versions_`.
   Instant latest_version_ = Instant::min();
-  // One entry for each service with speeds from answers or peers.
+  // The speeds of services for which answers or peers have given one.
   std::map<ServiceName, PrefillSpeed> speeds_;
 };
 
--- a/dispatch/prefill_speed.cc
+++ b/dispatch/prefill_speed.cc
@@ -9,8 +9,8 @@
 // Factor on the weight of older answers with each new one. About the last 100
 // answers count, which is 10 s of a router with ten streams a second.
 constexpr double kDecay = 0.99;
-// Answers before the line is used; with fewer, one slow answer changes its
-// slope too much.
+// Number of answers from which the fitted line is used; with fewer, one slow
+// answer changes its slope too much.
 constexpr double kMinAnswers = 20;
 // A wait counts for at most `kMaxWaitFactor` times the expected wait plus
 // `kAlwaysAllowedMs`. Three in ten answers wait for prompts of other routers;
--- a/dispatch/prefill_speed.h
+++ b/dispatch/prefill_speed.h
@@ -7,14 +7,15 @@
 //   const double wait = speed.FirstEventMs(tokens);
 //
 // Engines of one deployment prefill 20 tokens in a millisecond, those of
-// another 50, and no setting gives a router this speed. Placement needs it to
-// decide whether to wait for an engine that has parts of the prompt cached, and
-// to estimate how long prompts sent by peers keep an engine busy.
+// another 50, and no setting gives a router this speed. Placement needs the
+// speed to decide whether to wait for an engine that has parts of the prompt
+// cached, and to estimate how long prompts sent by peers keep an engine busy.
 //
 // Estimate: a line fitted by least squares to the wait for the first event over
-// the tokens that this router knew to be ahead of it. Older answers lose
-// weight. Prompts of other routers are unknown; they add to the waits whatever
-// the size of the prompt, so they raise the line but hardly change its slope.
+// the tokens that this router knew had to be prefilled before that event. Older
+// answers lose weight. Prompts of other routers are unknown; they add to the
+// waits of short and long prompts alike, so they raise the line but hardly
+// change its slope.
 //
 // Bounds: the initial values apply until `kMinAnswers` answers were received. A
 // wait counts for at most `kMaxWaitFactor` times the expected wait. A dead
@@ -35,7 +36,7 @@
 struct SpeedLine {
   double ms_per_token = 0;
   double base_ms = 0;
-  // Number of answers it was fitted to, with decayed weights.
+  // Number of answers that the line was fitted to, with decayed weights.
   double answers = 0;
 };
 
@@ -52,7 +53,7 @@
 
   // Milliseconds for which an engine is busy with `tokens`.
   double PrefillMs(Tokens tokens) const;
-  // Milliseconds until a first event with `tokens` ahead of it.
+  // Milliseconds until a first event before which `tokens` are to be prefilled.
   double FirstEventMs(Tokens tokens) const {
     return base_ms_ + PrefillMs(tokens);
   }
@@ -74,7 +75,8 @@
   double ms_per_token_ = kInitialMsPerToken;
   double base_ms_ = kInitialBaseMs;
 
-  // Initial values. Known engines prefill 30 to 50 tokens in a millisecond.
+  // The line before there are answers. Known engines prefill 30 to 50 tokens in
+  // a millisecond.
   static constexpr double kInitialMsPerToken = 1.0 / 50;
   static constexpr double kInitialBaseMs = 40;
 };
--- a/dispatch/prefix_cache.h
+++ b/dispatch/prefix_cache.h
@@ -11,7 +11,7 @@
 //
 // This is an estimate: engines do not report their cache, and other routers
 // send to them too. Every part that was sent is assumed to be cached. Beyond
-// `kMaxParts` parts, the least recently sent are forgotten, as the engine does.
+// `kMaxParts` parts, the least recently sent are forgotten, as an engine does.
 //
 // Owns the list of parts; relies on the time passed in; cannot fail.
 
@@ -28,7 +28,7 @@
 
 namespace quaytrack {
 
-// A part of a prompt, as described above.
+// A part of a prompt, which other prompts may share unless it is the last.
 struct PromptPart {
   std::uint64_t id = 0;
   Tokens tokens = 0;
@@ -41,7 +41,7 @@
  public:
   // Tokens of the leading shared parts that are assumed to be cached.
   Tokens CachedTokens(const std::vector<PromptPart>& parts) const;
-  // A prompt with these parts was sent to the engine.
+  // Notes that a prompt with these parts was sent to the engine.
   void OnSent(Instant now, const std::vector<PromptPart>& parts);
 
  private:
--- a/dispatch/rate_limits.h
+++ b/dispatch/rate_limits.h
@@ -3,7 +3,7 @@
 //
 //   RateLimits limits;
 //   limits.OnLimit(now, target, sent_at, 1.5);   // an answer states a limit
-//   limits.OnNoLimit(now, target, sent_at);      // an answer states none
+//   limits.OnNoLimit(now, target, sent_at);      // an answer states no limit
 //   limits.OnPeer(now, target, report);          // report from a peer
 //   if (const auto per_s = limits.LimitOf(target)) ...
 //   send(limits.TakeUnreported(now, forwards));
@@ -20,10 +20,10 @@
 // seen at the same time, the lower limit applies. A router that wrongly takes a
 // limit for ended learns of it again from the next answer of the target.
 //
-// A limit belongs to one start of a target. After a restart, an answer of the
-// new start may be attributed to the previous start until the target's new
-// entry has been read. `OnRestart` therefore carries a recently confirmed limit
-// over to the new start.
+// A limit belongs to one start of a target, which is one run of its process
+// (TargetStart). After a restart, an answer of the new start may be attributed
+// to the previous start until the target's new entry has been read. `OnRestart`
+// therefore carries a recently confirmed limit over to the new start.
 //
 // Owns the limits; does not read the clock; cannot fail. It does not decide
 // what may be sent; dispatch/shared_rate.h does.
@@ -48,16 +48,18 @@
 struct RateStatement {
   // The stated limit in requests a second; finite, 0 or more.
   std::optional<double> per_s;
-  // The answer states no limit, and would state one if there were one.
+  // Whether the answer states no limit, and would state a limit if there were
+  // one.
   bool is_unlimited = false;
 };
 
 // A target's limit as one router knows it; sent to its peers.
 struct RateReport {
-  // Unset if the limit has ended.
+  // The limit in requests a second; unset if the limit has ended.
   std::optional<double> per_s;
+  // Orders the reports on a target: a later version replaces an earlier one.
   std::uint64_t version = 0;
-  // Time since an answer of the target last confirmed this.
+  // Time since an answer of the target last confirmed `per_s`.
   Duration age{};
 
   bool operator==(const RateReport&) const = default;
@@ -75,8 +77,9 @@
   // confirmed within this time.
   static constexpr Duration kReportEndToNewPeersFor = std::chrono::minutes(5);
 
-  // An answer to a request that was sent at `sent_at` states a limit. Returns
-  // whether the limit that applies has changed, as do the next two functions.
+  // Notes that an answer to a request that was sent at `sent_at` states a
+  // limit. `OnLimit`, `OnNoLimit` and `OnPeer` return whether the limit that
+  // applies has changed.
   bool OnLimit(Instant now, const TargetStart& target, Instant sent_at,
                double per_s) {
     Item& at = items_[target];
@@ -88,7 +91,8 @@
     return false;
   }
 
-  // An answer to a request that was sent at `sent_at` states no limit.
+  // Notes that an answer to a request that was sent at `sent_at` states no
+  // limit.
   bool OnNoLimit(Instant now, const TargetStart& target, Instant sent_at) {
     const auto it = items_.find(target);
     if (it == items_.end()) return false;
@@ -102,7 +106,8 @@
     return false;
   }
 
-  // The age in a report does not include the transit time of the message.
+  // Takes a report of a peer. Its age does not include the transit time of the
+  // message.
   bool OnPeer(Instant now, const TargetStart& target,
               const RateReport& report) {
     Item& at = items_[target];
@@ -126,7 +131,8 @@
     return changed;
   }
 
-  // A target has restarted. Returns whether its limit was carried over.
+  // Carries a recently confirmed limit over to the new start of a target that
+  // has restarted. Returns whether there was one to carry over.
   bool OnRestart(Instant now, const TargetStart& before,
                  const TargetStart& after) {
     const auto it = items_.find(before);
@@ -140,15 +146,15 @@
     const auto it = items_.find(target);
     return it == items_.end() ? std::nullopt : it->second.per_s;
   }
-  // When an answer, here or at a peer, last confirmed what is known of the
+  // When an answer to this router or a peer last confirmed what is known of the
   // limit of the target; `Instant{}` if nothing is known.
   Instant ConfirmedAt(const TargetStart& target) const {
     const auto it = items_.find(target);
     return it == items_.end() ? Instant{} : it->second.confirmed_at;
   }
 
-  // Reports that were not sent to the peers yet. With `forwards`, these include
-  // reports received from other peers.
+  // Returns the reports that were not sent to the peers yet. With `forwards`,
+  // these include reports received from other peers.
   RateReports TakeUnreported(Instant now, bool forwards) {
     RateReports out;
     for (auto& [target, it] : items_) {
@@ -161,7 +167,7 @@
     return out;
   }
 
-  // For a peer that has just linked.
+  // Returns the reports for a peer that has just linked.
   RateReports All(Instant now) const {
     RateReports out;
     for (const auto& [target, it] : items_) {
@@ -172,7 +178,7 @@
     return out;
   }
 
-  // Targets with a limit.
+  // Number of targets with a limit.
   std::size_t size() const {
     return static_cast<std::size_t>(std::count_if(
         items_.begin(), items_.end(),
@@ -180,7 +186,8 @@
   }
 
  private:
-  // Bound on target starts, several times the number in a large fleet.
+  // Bound on the target starts in `items_`, several times the number in a large
+  // fleet.
   static constexpr std::size_t kMaxItems = 4096;
 
   struct Item {
@@ -188,11 +195,12 @@
     std::uint64_t version = 0;
     // When this router learned of `per_s`.
     Instant learned_at{};
-    // When an answer last confirmed it.
+    // When an answer last confirmed `per_s`.
     Instant confirmed_at{};
     Instant reported_at{};
     bool unreported = false;
-    // Some of the unreported information came from the target to this router.
+    // Whether some of the unreported information came from the target to this
+    // router.
     bool seen_locally = false;
 
     void MarkUnreported(bool here) {
--- a/dispatch/retry_share.h
+++ b/dispatch/retry_share.h
@@ -9,10 +9,10 @@
 // Rule: within any window, all routers together may send a service at most
 // `ratio` times its requests plus `slack` retries, where a retry is any send of
 // a request beyond its first. A router knows only its own requests. It allows
-// `ratio` times those plus an equal share of the slack, and uses only the
-// fraction `margin` of that, so that the total stays within the rule however
-// the load is distributed (per-client retry budgets, "Handling Overload",
-// Google SRE book, 2016).
+// `ratio` times its own requests plus an equal share of the slack, and uses
+// only the fraction `margin` of this sum, so that the total stays within the
+// rule however the load is distributed (per-client retry budgets, "Handling
+// Overload", Google SRE book, 2016).
 //
 // Inputs: this router's requests and retries in the window, and the number of
 // routers, which may be slightly out of date. `ratio`, `slack` and the window
@@ -21,9 +21,9 @@
 // Owns two lists of times, with one entry for each request and retry in the
 // window; relies on the time passed in, which never goes back.
 //
-// `quaytrack router` uses route/retry_budget.h instead: it has no fleet-wide
-// rule to keep, and only bounds its own retries so that they cannot multiply an
-// overload. A balance without a window is sufficient for that.
+// `quaytrack router` uses route/retry_budget.h instead: that program has no
+// fleet-wide rule to keep, and only bounds its own retries so that they cannot
+// multiply an overload. A balance without a window is sufficient for that.
 
 #ifndef QUAYTRACK_DISPATCH_RETRY_SHARE_H_
 #define QUAYTRACK_DISPATCH_RETRY_SHARE_H_
@@ -36,7 +36,7 @@
 namespace quaytrack {
 
 struct RetryShareOptions {
-  // Retries per request. The deployment sets this and the next two; the
+  // Retries per request. The deployment sets `ratio`, `window` and `slack`; the
   // defaults are those of the settings.
   double ratio = 0.2;
   Duration window = std::chrono::seconds(10);
@@ -51,12 +51,12 @@
  public:
   explicit RetryShare(RetryShareOptions options) : options_(options) {}
 
-  // How many routers share the slack; 0 counts as 1.
+  // Sets how many routers share the slack; 0 counts as 1.
   void SetRouters(std::size_t routers) {
     routers_ = std::max<std::size_t>(1, routers);
   }
 
-  // A request was admitted. Retries are not counted here.
+  // Notes that a request was admitted. `TryRetry` counts retries.
   void OnRequest(Instant now) {
     DropOld(now);
     requests_.push_back(now);
--- a/dispatch/shared_rate.h
+++ b/dispatch/shared_rate.h
@@ -17,20 +17,21 @@
 //
 // Lists may differ for a while. Entries are never removed from them, so an
 // outdated list lacks only the newest routers, and a router wrongly considers
-// itself an owner only if one of those has displaced it. Each share is
+// itself an owner only if a newer router has displaced it. Each share is
 // therefore computed for twice the number of owners. The bound holds as long
 // as, within the time by which a list is outdated, no more owners of a target
-// are displaced than it has, and no list is shorter than half the longest. A
-// router that has not read the list owns no target.
+// are displaced than the target has, and no list is shorter than half the
+// longest. A router that has not read the list owns no target.
 //
 // Backups: all owners may be down, and then no router would learn that a limit
-// has ended. When no answer of the target has been reported for a while, the
-// next routers in its order, as many as there are owners, may send one request
-// each in addition to the owners; after the same time again, the group after
-// those. An answer that one of them receives is reported to all routers. The
-// shares leave room for this too: for owners and backups with equal lists, or
-// for differing lists without backups. Routers that cannot reach each other act
-// as backups in turn, so few of them act at a time.
+// has ended. When no answer of the target has been reported for a while
+// (`OwnerShare::kWindowsPerTurn`), the next routers in its order, as many as
+// there are owners, may send one request each in addition to the owners; after
+// the same time again, the group after these may. An answer that a backup
+// receives is reported to all routers. The shares leave room for this too: for
+// owners and backups with equal lists, or for differing lists without backups.
+// Routers that cannot reach each other act as backups in turn, so few of them
+// act at a time.
 //
 // A process that has just started does not know what the previous process on
 // its VM has sent, so it sends nothing for one window. A window is longer than
@@ -73,8 +74,9 @@
   // the target.
   static constexpr int kWindowsPerTurn = 3;
 
-  // At least two, so that a target gets work while one of them is down; more if
-  // the rate is large enough for each to get several requests.
+  // Number of owners: at least two, so that a target gets work while one of
+  // them is down; more if the rate is large enough for each to get several
+  // requests.
   std::size_t owners = 1;
   // Maximum number of requests that one owner sends in a window.
   std::size_t requests = 1;
@@ -92,8 +94,8 @@
     return out;
   }
 
-  // Whether a router at `place` is an owner or a backup whose turn it is,
-  // `silent` after the last report on the target.
+  // Whether a router at `place` is an owner, or a backup whose turn it is when
+  // the last report on the target is `silent` ago.
   bool IsActive(const RendezvousPlace& place, Duration silent) const {
     if (IsOwner(place)) return true;
     const auto turn = static_cast<std::size_t>(
@@ -117,7 +119,8 @@
            allowance_.slack;
   }
 
-  // Share of one owner if the list has that many routers.
+  // The share of each owner of a target with limit `per_s`, if the list has
+  // `routers` routers.
   OwnerShare ShareOf(double per_s, std::size_t routers) const {
     OwnerShare out;
     const double max_per_span = MaxPerSpan(per_s);
@@ -151,17 +154,20 @@
 
  private:
   static constexpr std::size_t kMinOwners = 2;
-  // Requests per span for each owner, if there are more than `kMinOwners`.
+  // Requests per span for each owner, if there are more owners than
+  // `kMinOwners`.
   static constexpr double kRequestsPerOwner = 8;
-  // More than the time that a request may wait for its connection.
+  // By how much a window is longer than a span: more than the time that a
+  // request may wait for its connection.
   static constexpr Duration kConnectAllowance = std::chrono::milliseconds(300);
   // Even a target with a very low limit gets a request in this time.
   static constexpr Duration kLongestWindow = std::chrono::seconds(20);
   // Higher rates are treated as this one.
   static constexpr double kMaxPerS = 1e6;
 
-  // Longer than a span if an owner's share is less than one request, or if the
-  // rate allows what all owners send in a window only every `even_s` seconds.
+  // The window of an owner whose share in a span is `share` requests. The
+  // window is longer if `share` is less than 1, or if the rate allows what all
+  // owners send in a window only every `even_s` seconds.
   Duration WindowOf(double share, double even_s) const {
     const double min_s = ToSeconds(allowance_.span + kConnectAllowance);
     const double max_s = ToSeconds(kLongestWindow);
--- a/dispatch/target_warmth.h
+++ b/dispatch/target_warmth.h
@@ -1,7 +1,7 @@
 // TargetWarmth: whether one target is cold, as far as this router can know.
 //
 //   TargetWarmth warmth;
-//   warmth.OnCold(now, remaining, ColdSign::kEntry);   // its entry says so
+//   warmth.OnCold(now, remaining, ColdSign::kEntry);   // shown by its entry
 //   warmth.OnLost(now);                       // an attempt got no answer
 //   warmth.OnAlive(now, sent_at, cold_start); // the target answered
 //   if (warmth.IsCold(now)) ...               // dispatch/shared_rate.h
@@ -12,15 +12,16 @@
 // observations. If an attempt got no answer (its connection broke or did not
 // open, or the answer did not begin in time), or the target closed an idle
 // connection earlier than announced, the target may have ended and may be back
-// at any moment. It counts as cold from then on, until
+// at any moment. The target counts as cold from then on, until
 //
-//   - it answers a request that it received before, which shows that it did not
-//     end (except within `kInFlightGrace`, as such an answer may have been in
-//     flight when the target ended); or
-//   - it answers a request that it received later. It may have started as late
-//     as now, so it stays cold for one cold-start time from now on; or
-//   - `kUncertainTime` has passed. By then its entry has been rewritten or has
-//     lapsed.
+//   - it answers a request that was sent before then, which shows that it did
+//     not end (except within `kInFlightGrace`, as such an answer may have been
+//     in flight when the target ended); or
+//   - it answers a request that was sent later. The target may have started
+//     just before the answer, so it stays cold for one cold-start time from
+//     then on; or
+//   - `kUncertainTime` has passed. By then the target's entry has been
+//     rewritten or has lapsed.
 //
 // Wrongly treating a live target as cold costs little: other targets take its
 // work, and the routers that may send to cold targets still do. The uncertainty
@@ -63,16 +64,16 @@
 
 class TargetWarmth {
  public:
-  // After this time its entry shows whether it restarted.
+  // Time after which a target's entry shows whether the target has restarted.
   static constexpr Duration kUncertainTime = kMaxEntryDelay;
   // Bytes that a target sent before it ended are read at most this long after
   // its end was seen, because both events wait in the same loop.
   static constexpr Duration kInFlightGrace = std::chrono::milliseconds(100);
-  // The longest time that a target can announce to stay cold, so that an entry
-  // with a huge value does not exclude it for long.
+  // Upper bound on the cold time that is accepted from a target, so that a huge
+  // announced value does not exclude the target for long.
   static constexpr Duration kLongestCold = std::chrono::seconds(120);
 
-  // The target is cold for at least `remaining` from now on.
+  // Notes that the target is cold for at least `remaining` from now on.
   void OnCold(Instant now, Duration remaining, ColdSign sign) {
     const Duration bounded =
         std::clamp(remaining, Duration::zero(), kLongestCold);
@@ -81,15 +82,15 @@
     reason_ = sign;
   }
 
-  // An attempt got no answer, or the target closed an idle connection too
-  // early.
+  // Notes that an attempt got no answer, or that the target closed an idle
+  // connection earlier than announced.
   void OnLost(Instant now) {
     if (!IsCold(now)) reason_ = ColdSign::kLost;
     lost_at_ = now;
     uncertain_until_ = now + kUncertainTime;
   }
 
-  // The target answered a request that was sent at `sent_at`.
+  // Notes that the target answered a request that was sent at `sent_at`.
   void OnAlive(Instant now, Instant sent_at, Duration cold_start) {
     if (now >= uncertain_until_) return;
     if (sent_at >= lost_at_) {
--- a/dispatch/version_gate.h
+++ b/dispatch/version_gate.h
@@ -4,16 +4,18 @@
 //   VersionGate gate;
 //   gate.SetRule(rule, random_offset);
 //   if (gate.Admits(version)) ...            // may get requests at all
-//   switch (gate.Turn()) ...                 // which version is next
+//   switch (gate.Turn()) ...                 // which version's turn it is
 //   gate.OnSent(version);
 //
-// The next version gets its share by counting rather than by chance: each
-// router counts its own requests and multiplies them by the share, from a
-// random offset. The total over all routers is then at most the share of all
-// their requests plus a fraction of a request for each router, even when
-// routers restart, and a router with few requests sends its share too.
+// The next version, which the service moves to, gets its share by counting
+// rather than by chance: each router counts its own requests and multiplies
+// them by the share, from a random offset. The total over all routers is then
+// at most the share of all their requests plus a fraction of a request for each
+// router, even when routers restart, and a router with few requests sends its
+// share too.
 //
-// Owns the rule and two counts, which restart with each change of the share.
+// Owns the rule and two counts, which restart with each change of the share or
+// of the next version.
 
 #ifndef QUAYTRACK_DISPATCH_VERSION_GATE_H_
 #define QUAYTRACK_DISPATCH_VERSION_GATE_H_
@@ -27,7 +29,8 @@
 namespace quaytrack {
 
 struct VersionRule {
-  // Empty if no version is being rolled out.
+  // The version that the service moves to; empty if no version is being rolled
+  // out.
   VersionName next;
   // Share of the requests that the next version gets.
   double share = 0;
@@ -51,7 +54,9 @@
 class VersionGate {
  public:
   const VersionRule& rule() const { return rule_; }
-  // `offset` in [0, 1) is the initial value of the count.
+  // `offset`, in [0, 1), is added to the number of requests that are due to the
+  // next version. It takes effect only if the share or the next version
+  // changes.
   void SetRule(VersionRule rule, double offset) {
     if (rule.share != rule_.share || rule.next != rule_.next) {
       sent_ = 0;
@@ -91,7 +96,8 @@
  private:
   VersionRule rule_;
   double offset_ = 0;
-  // Requests since the share was set.
+  // Requests since the share or the next version last changed, in total and to
+  // the next version.
   std::uint64_t sent_ = 0;
   std::uint64_t sent_next_ = 0;
 };
--- a/fleet/closed_halls.h
+++ b/fleet/closed_halls.h
@@ -21,15 +21,15 @@
 //
 // Reopened halls are remembered and sent to peers, since a peer that was cut
 // off may still regard them as closed; beyond `kMaxOpened` the oldest are
-// forgotten. A peer's state is outdated, whether or not the hall has a state
-// here, if its revision is one up to which every change is known here.
+// forgotten. If this router knows every change up to the revision of a peer's
+// state, that state is outdated, whether or not the hall has a state here.
 //
 // A store that is restored from an older copy (base/store_revision.h) shows the
 // halls as they were when the copy was taken, until operators have repeated the
 // lost changes. So the first read of a later era changes no hall of which this
-// router knows a state; it can only close others. Later changes take effect at
-// once. For the other halls, the caller adopts the store's states some seconds
-// later with
+// router knows a state; the read can only close other halls. Later changes take
+// effect at once. For the other halls, the caller adopts the store's states
+// some seconds later with
 //
 //   halls.AdoptStoreStates();
 //
@@ -60,13 +60,13 @@
 
 class ClosedHalls {
  public:
-  // Number of reopened halls that are remembered. A region has some dozen halls
-  // at most, so only deleted halls are forgotten.
+  // Maximum number of reopened halls that are remembered. A region has some
+  // dozen halls at most, so only deleted halls are forgotten.
   static constexpr std::size_t kMaxOpened = 64;
 
   // Applies a state that the store shows. Returns whether the hall changed
   // between closed and open; `Replace`, `Merge` and `AdoptStoreStates` return
-  // the halls that did.
+  // the halls that changed so.
   bool ApplyChange(const HallName& hall, const HallState& state) {
     const bool was_closed = IsClosed(hall);
     HallState& current = states_[hall];
@@ -179,8 +179,8 @@
   }
 
   HallStates states_;
-  // Halls that differ from what the store shows, and whether it shows them as
-  // closed.
+  // Halls whose state differs from what the store shows, and whether the store
+  // shows them as closed.
   std::map<HallName, bool> differing_;
   // Every change up to this revision has been applied.
   StoreRevision applied_up_to_;
--- a/fleet/fleet.h
+++ b/fleet/fleet.h
@@ -8,11 +8,11 @@
 //
 // Choice of holders. The input is the list of routers, with the hall of each.
 // In a fleet of up to `FleetOptions::small_fleet` routers all are holders; in a
-// larger fleet, `holders_per_hall` of each hall are: those on the largest VMs
-// (below), and among equal ones the first by rendezvous hashing (Thaler and
-// Ravishankar 1998), so that routers choose alike without an election. The
-// other routers ask a holder for each request, which within a hall costs less
-// than a millisecond.
+// larger fleet, `holders_per_hall` routers of each hall are holders: those on
+// the largest VMs (below), and among equal VMs the first by rendezvous hashing
+// (Thaler and Ravishankar 1998), so that routers choose alike without an
+// election. The other routers ask a holder for each request, which within a
+// hall costs less than a millisecond.
 //
 // Holders are few because a router's grant is unavailable to the others until
 // it is returned, because the prepaid record grows with each router that has
@@ -31,8 +31,8 @@
 //
 // Readers. In a larger fleet the holders also read the store for all routers
 // (relay/state_feed.h), since they are linked to the routers that need the
-// updates. In a small fleet each router reads for itself, so there are no
-// readers.
+// updates. In a small fleet each router reads the store for itself, so there
+// are no readers.
 //
 // A router that has not read the list must not become a holder. It would take
 // its fleet for a small one; when all routers of a large fleet restart under
@@ -40,15 +40,16 @@
 // 20 times as large, and nearly every write of it conflicts with another.
 //
 // Lists that differ between routers for a while do no harm: the members of the
-// record are the holders, and a router that is asked but isn't one replies so.
+// record are the holders, and a router that is asked but isn't a holder replies
+// that it isn't.
 //
 // Links. Holders link to all other holders, as they transfer grants among
 // themselves. Any other router links to the holders of its hall and to
 // `links_to_other_halls` more, so that the number of links doesn't grow with
 // the fleet.
 //
-// There are two lists of routers. This one belongs to `quaytrack relay`: it
-// gives the routers to ask and to connect to, so it may be outdated, and it
+// There are two lists of routers. FleetDirectory belongs to `quaytrack relay`:
+// it gives the routers to ask and to connect to, so it may be outdated, and it
 // doesn't prove that a router is dead; the hello of a later incarnation does
 // (relay/peer_mesh.h). RouterRegistry (member/registry.h) belongs to `quaytrack
 // router`: it holds leases of incarnations and decides, with the VM list,
@@ -86,13 +87,13 @@
 // The resources of a VM; 0 where unknown.
 struct VmSize {
   double link_mbps = 0;
-  // May be a fraction.
+  // Number of processor cores; may be a fraction.
   double cores = 0;
 };
 
-// A VM's size on a logarithmic scale: the mean of the binary logarithms of its
-// two resources, rounded down. A holder's work needs processor time and link
-// about equally, and neither makes up for a lack of the other.
+// A VM's size on a logarithmic scale: the mean of the binary logarithms of
+// `link_mbps` and `cores`, rounded down. A holder's work needs processor time
+// and link about equally, and neither makes up for a lack of the other.
 int SizeClass(const VmSize& size);
 
 // A router's place in an order of all routers on the list.
@@ -106,8 +107,9 @@
 struct FleetOptions {
   // Number of routers up to which every router is a holder.
   std::size_t small_fleet = 12;
-  // Holders of each hall in a larger fleet. With 86 routers, two scored 0.132
-  // and three 0.195, or 0.346 after other changes (docs/design/prepaid.md).
+  // Holders of each hall in a larger fleet. In a simulation of a day with 86
+  // routers, callers got 0.132 of what they are owed with two holders, and
+  // 0.195 with three, or 0.346 after other changes (docs/design/prepaid.md).
   std::size_t holders_per_hall = 3;
   // Holders in other halls to which a router that isn't a holder keeps links.
   // It asks them when it can reach no holder of its hall.
@@ -138,9 +140,9 @@
   // Readers in the order in which this router asks them: those of its hall come
   // first. The order differs between the routers of a hall.
   std::vector<VmName> ReadersToAsk() const;
-  // Whether this router, if it is a reader, sends what it reads to `vm`. It
-  // sends to all routers of its hall, and to the other readers, which send to
-  // theirs.
+  // Whether this router, if it is a reader, sends what it reads to `vm`. A
+  // reader sends to all routers of its hall, and to the other readers, which
+  // send to the routers of their halls.
   bool SendsUpdatesTo(const VmName& vm) const;
   // This router's place in the rendezvous order of `key`; std::nullopt before
   // the list was read.
@@ -166,9 +168,9 @@
   std::vector<FleetMember> holders_;
 };
 
-// CBOR, as a router's entry in the store.
+// Returns a router's entry in the store, as CBOR.
 std::string EncodeMember(const FleetMember& member);
-// std::nullopt if `bytes` isn't an entry.
+// Returns std::nullopt if `bytes` isn't an entry.
 std::optional<FleetMember> DecodeMember(std::string_view bytes);
 
 }  // namespace quaytrack
--- a/fleet/hall_regions.h
+++ b/fleet/hall_regions.h
@@ -23,7 +23,7 @@
   // Returns std::nullopt if an entry lacks a name, or a hall is named twice.
   static std::optional<HallRegions> Parse(std::string_view text);
 
-  // Empty if the hall's region isn't known.
+  // The hall's region; empty if it isn't known.
   RegionName RegionOf(const HallName& hall) const {
     const auto it = regions_.find(hall);
     return it == regions_.end() ? RegionName() : it->second;
--- a/fleet/target_registry.h
+++ b/fleet/target_registry.h
@@ -9,15 +9,15 @@
 //
 // A target that is leaving or no longer listed gets no new work, except for
 // targets that are kept around an outage (below). It keeps serving for a while,
-// so its running requests can end. A start of a target that was once seen
-// leaving stays leaving, whatever is listed later; one that merely disappeared
-// from the list may be listed again as ready.
+// so its running requests can end. A start of a target (one run of its process)
+// that was once seen leaving stays leaving, whatever is listed later; a start
+// that merely disappeared from the list may be listed again as ready.
 //
 // A target may also announce itself that it is leaving, before its entry shows
 // it or while entries can't be read:
 //
 //   registry.MarkLeaving(name, started_at);
-//   send(registry.announced_leaving());      // peers can't read it either
+//   send(registry.announced_leaving());      // to the peers
 //
 // A target may start again under its name. Its starts are distinguished by
 // their times, and a new start has a new state: an earlier start that left
@@ -56,20 +56,21 @@
 
 struct TargetEntry {
   TargetName name;
-  // Identifies one run of the target's program. State that is remembered about
-  // a target belongs to one run.
+  // Identifies the start. State that is remembered about a target belongs to
+  // one start.
   TargetStart start;
-  // By the target's clock; 0 if it doesn't report the time.
+  // Time of the start by the target's clock; 0 if the target doesn't report the
+  // time.
   WallTime started_at{};
   ServiceName service;
-  // Of the target's software; empty if it doesn't report one.
+  // Version of the target's software; empty if the target doesn't report one.
   VersionName version;
   // "host:port".
   std::string address;
   HallName hall;
-  // Requests that it serves at the same time.
+  // Requests that the target serves at the same time.
   int slots = 1;
-  // The target ends soon and takes no new work.
+  // Whether the target ends soon and takes no new work.
   bool leaving = false;
   // How much longer the target is cold, from the time its entry was written. A
   // cold target is slow and gets fewer requests (dispatch/shared_rate.h).
@@ -83,8 +84,8 @@
 
 // The longest time from the end of a target until routers know that its entry
 // has lapsed or was replaced. An entry lapses after three missed writes, which
-// is 3.6 s at the deployment's interval of 1.2 s, and routers learn of it
-// within 2 s.
+// is 3.6 s at the deployment's interval of 1.2 s, and routers learn of the
+// lapse within 2 s.
 inline constexpr Duration kMaxEntryDelay = std::chrono::milliseconds(5600);
 
 class TargetRegistry {
@@ -123,16 +124,17 @@
   // Listed starts that are known to leave although their entries don't show it.
   const LeavingStarts& announced_leaving() const { return announced_leaving_; }
 
-  // Whether `entry` is another start of a listed target, and not an earlier
-  // one.
+  // Whether `entry` shows another start of a listed target than the listed one,
+  // and not an earlier start.
   bool IsNewStart(const TargetEntry& entry) const {
     const auto it = entries_.find(entry.name);
     return it != entries_.end() && it->second.start != entry.start &&
            !IsOfEarlierStart(entry);
   }
 
-  // Removes a target that is no longer listed. It may be listed again later as
-  // ready, unless it was leaving.
+  // Removes a target that is no longer listed, or, after `KeepMissing`, keeps
+  // it as missing unless it was leaving. Returns whether `entries` changed. The
+  // target may be listed again later as ready, unless it was leaving.
   bool Remove(const TargetName& name) {
     const auto it = entries_.find(name);
     if (it == entries_.end()) return false;
@@ -149,7 +151,7 @@
   // unless they were leaving.
   void KeepMissing() { keeps_missing_ = true; }
 
-  // From now on, targets that disappear are removed at once. Those that are
+  // From now on, targets that disappear are removed at once. Targets that are
   // missing already stay until `DropMissing`.
   void StopKeeping() { keeps_missing_ = false; }
 
@@ -179,9 +181,9 @@
   const std::map<TargetName, TargetEntry>& entries() const { return entries_; }
 
  private:
-  // Number of names that are remembered as having left; beyond it the oldest is
-  // forgotten. It is several times the number of targets in a large fleet, as
-  // late updates about a target arrive within seconds.
+  // Maximum number of names in `left_`; beyond it the oldest name is forgotten.
+  // Late updates about a target arrive within seconds, so several times the
+  // number of targets in a large fleet is enough.
   static constexpr std::size_t kMaxLeft = 8192;
 
   bool IsOfEarlierStart(const TargetEntry& entry) const {
@@ -190,7 +192,8 @@
            entry.started_at < it->second.started_at;
   }
 
-  // Whether this start, or a later one of the name, was seen leaving.
+  // Whether the start in `entry`, or a later start of that target, was seen
+  // leaving.
   bool HasLeft(const TargetEntry& entry) const {
     const auto it = left_.find(entry.name);
     return it != left_.end() && entry.started_at <= it->second;
@@ -207,9 +210,10 @@
   }
 
   std::map<TargetName, TargetEntry> entries_;
-  // The time of the latest start that was seen leaving. An older entry doesn't
-  // make it ready again.
+  // For each target, the time of the latest start that was seen leaving. A
+  // later listing as ready doesn't make this start ready again.
   std::map<TargetName, WallTime> left_;
+  // The names in `left_`, the oldest first.
   std::deque<TargetName> left_order_;
   LeavingStarts announced_leaving_;
   bool keeps_missing_ = false;
--- a/prepaid/grant_sizing.h
+++ b/prepaid/grant_sizing.h
@@ -18,11 +18,12 @@
 // A store outage comes without warning, so each router always keeps what it is
 // likely to need during one.
 //
-// Grant. A write is due when the idle tokens of a grant are less than
-// `kLowWater` or more than `kHighWater` of the target size. Every write of the
-// record raises each grant that isn't nearly full (`kTopUp`) to its target size
-// plus the waiting requests, as far as the record has ungranted tokens, and
-// returns the excess of each grant that is above `kHighWater`.
+// Grant. A write is due when the idle tokens of a grant (neither spent, held
+// nor transferred away) are less than `kLowWater` or more than `kHighWater` of
+// the target size. Every write of the record raises each grant that isn't
+// nearly full (`kTopUp`) to its target size plus the waiting requests, as far
+// as the record has ungranted tokens, and returns the excess of each grant that
+// is above `kHighWater`.
 //
 // Withheld tokens. These are all idle tokens beyond the waiting requests and
 // `spendable_share` of the target size. A successor gets them back if this
@@ -57,21 +58,23 @@
                   const CustomerName& customer,
                   const LocalAccount& account) const;
   // Whether too much of a large enough grant is withheld, so that a report is
-  // due. `spendable` is what may be spent now.
+  // due, `since_write` after the last write. `spendable` is what may be spent
+  // now.
   bool ReleaseIsDue(Instant now, Duration since_write, const StoreView& view,
                     const CustomerName& customer, const LocalAccount& account,
                     Tokens spendable) const;
 
-  // By how much the grant in the view's entry is to change. Held tokens stay
-  // granted.
+  // By how much this router's grant is to change. Held tokens stay granted.
   Tokens GrantChange(Instant now, const StoreView& view,
                      const CustomerName& customer,
                      const LocalAccount& account) const;
+  // How many of this router's tokens a write is to withhold.
   Tokens ToWithhold(Instant now, const StoreView& view,
                     const CustomerName& customer,
                     const LocalAccount& account) const;
 
  private:
+  // The target size of this router's grant.
   Tokens Target(Instant now, const PrepaidRecord& record,
                 const PrepaidEntry& entry, const LocalAccount& account) const;
   // The fraction of the full target size that applies, given how long the
--- a/prepaid/prepaid_ledger.cc
+++ b/prepaid/prepaid_ledger.cc
@@ -9,7 +9,7 @@
 namespace quaytrack {
 namespace {
 
-// Unanswered writes from one confirmed state. Beyond this number, the next
+// Number of unanswered writes from one confirmed state beyond which the next
 // write waits for `report_every` instead of `retry_after_failure`.
 constexpr std::size_t kMaxUnconfirmed = 4;
 
@@ -45,7 +45,7 @@
              : PrepaidVerdict::kExhausted;
 }
 
-// Whether the budget could hold the amount if this router had all of it that
+// Whether this router could hold `amount` if it had all of the budget that
 // isn't known to be spent. What other routers hold or haven't reported may
 // become available again, so it doesn't count as spent. The reserve is never
 // granted.
@@ -274,8 +274,8 @@
   if (state.record.era == state.era && state.record.IsGone(self_)) {
     fenced_ = true;
   }
-  // A write of the earlier era is shown by the restored copy, so it was
-  // applied.
+  // If the restored copy shows an unanswered write of the earlier era, the
+  // write was applied.
   const auto self = state.spends.find(self_);
   if (self == state.spends.end()) return true;
   for (const StoreView& it : unconfirmed_) {
@@ -290,7 +290,7 @@
   return true;
 }
 
-// The store's restored state, merged with what this router knows.
+// Returns the store's restored state, merged with what this router knows.
 StoreView PrepaidLedger::DeclaredView(PrepaidWrite& write) const {
   StoreView out;
   out.era = later_era_state_->era;
@@ -323,8 +323,8 @@
   declared_at_ = now;
 }
 
-// Adds peers that joined after the copy was taken: the records known to this
-// router may show none of them.
+// Adds the peers that `record` doesn't show, as undeclared members: they may
+// have joined after the store's copy was taken.
 void PrepaidLedger::AwaitPeers(PrepaidRecord& record) const {
   for (const auto& [vm, it] : peers_) {
     if (record.IsKnown(it)) continue;
@@ -362,7 +362,8 @@
 void PrepaidLedger::MeasureSettling(Instant now, const PrepaidRecord& next) {
   if (!confirmed_) return;
   const PrepaidRecord& last = confirmed_->record;
-  // What is restored in a later era was settled before.
+  // What a record of a later era shows as settled may be restored spending that
+  // was settled before.
   if (last.era != next.era) return;
   const bool all_stay = std::includes(next.members.begin(), next.members.end(),
                                       last.members.begin(), last.members.end());
@@ -386,7 +387,8 @@
   if (joined_ && !member && !leaving_) fenced_ = true;
   if (leaving_ && joined_ && !member) left_ = true;
   joined_ = joined_ || member;
-  // The answer to a report doesn't show the record.
+  // A report doesn't write the record, so its answer doesn't show which record
+  // the store has.
   const bool newer =
       !confirmed_ || view.era != confirmed_->era ||
       view.record_key.revision != confirmed_->record_key.revision;
@@ -499,9 +501,9 @@
       return Confirm(now, std::move(applied));
     }
     case PrepaidOutcome::kRejected:
-      // The caller passes on the record that the store returned, or reads it.
-      // The write is due again at once; otherwise other routers would always
-      // write first.
+      // The caller calls `OnNewerRecord` with the record that the store
+      // returned, or reads the record. The write is due again at once;
+      // otherwise other routers would always write first.
       unconfirmed_.pop_back();
       stamp_ = earlier_stamp_;
       last_write_ = earlier_write_;
@@ -516,7 +518,7 @@
       needs_read_ = true;
       not_before_ = now + policy_.retry_after_failure;
       if (unconfirmed_.size() > kMaxUnconfirmed) {
-        // All stay in `unconfirmed_`, as each may still be applied.
+        // All writes stay in `unconfirmed_`, as each may still be applied.
         not_before_ = now + policy_.report_every;
       }
       return;
--- a/prepaid/prepaid_ledger.h
+++ b/prepaid/prepaid_ledger.h
@@ -30,13 +30,13 @@
 //
 // Restored store. A store that is restored from an older copy, in a later era,
 // may lack grants that are being spent, and settled spending. This router's
-// allowance doesn't change. Its next write is a declaration: it merges the
-// record that the router knew into the store's record (prepaid/record_merge.h),
-// and sets the router's own entries to what it has spent and may still spend.
-// Nothing is granted from the record until each member has declared itself or
-// is proven dead, or `declaration_timeout` has passed; transfers continue
-// meanwhile. Each era has separate keys (KeyRevision), so that a delayed write
-// of an earlier era changes nothing.
+// allowance doesn't change. The router's next write is a declaration: it merges
+// the record that the router knew into the store's record
+// (prepaid/record_merge.h), and sets the router's own entries to what it has
+// spent and may still spend. Nothing is granted from the record until each
+// member has declared itself or is proven dead, or `declaration_timeout` has
+// passed; transfers continue meanwhile. Each era has separate keys
+// (KeyRevision), so that a delayed write of an earlier era changes nothing.
 //
 // A grant is never reclaimed just because its holder has been silent (see
 // prepaid/prepaid_record.h, Dead members).
@@ -91,12 +91,13 @@
 // The part of the store's data that this router needs. The accounts were read
 // before the record.
 struct PrepaidState {
-  // Of the record; 0, with an empty record, if there is none.
+  // Revision of the record; 0, with an empty record, if there is none.
   std::int64_t revision = 0;
   PrepaidRecord record;
-  // The accounts of this router and of its predecessors, as far as they exist.
+  // The accounts of this router and of earlier incarnations of its VM, as far
+  // as they exist.
   std::map<Incarnation, StoredSpend> spends;
-  // Of the record's key; see `KeyRevision`.
+  // Era of the record's key (`KeyRevision` in prepaid/store_view.h).
   std::int64_t key_era = 0;
   // The store's era.
   std::int64_t era = 0;
@@ -110,18 +111,19 @@
   std::int64_t era = 0;
   KeyRevision expected_spend;
   SpendAccount spend;
-  // The account is removed instead of being replaced.
+  // Whether the account is removed instead of being replaced.
   bool leaves = false;
   bool changes_record = false;
   KeyRevision expected_record;
   PrepaidRecord record;
-  // Declares this router's state in a later era of the store.
+  // Whether the write declares this router's state in a later era of the store.
   bool declares = false;
   // This router's account and the record of an earlier era, to be removed.
   std::optional<KeyRevision> earlier_record;
   std::optional<KeyRevision> earlier_spend;
-  // Accounts of predecessors, to be removed.
+  // Accounts of earlier incarnations of this VM, to be removed.
   std::map<Incarnation, KeyRevision> removes;
+  // Earlier incarnations of this VM whose grants the write charges.
   std::vector<ChargedPredecessor> charged;
 };
 
@@ -129,7 +131,7 @@
   kApplied,
   kRejected,  // not applied: the record or the account had changed
   kRefused,   // not applied, for another reason
-  kUnknown,   // may have been applied, or may still be
+  kUnknown,   // the write may have been applied, or may still be applied
 };
 
 class PrepaidLedger {
@@ -138,9 +140,9 @@
 
   PrepaidLedger(Identity identity, PrepaidPolicy policy);
 
-  // Makes this router join the record and get grants. Before, a ledger reads
-  // the record once and writes nothing, unless the record shows an earlier
-  // incarnation of this VM.
+  // Makes this router join the record and get grants. Before this call, the
+  // ledger reads the record once and writes nothing, unless the record shows an
+  // earlier incarnation of this VM.
   void BecomeHolder() { is_holder_ = true; }
   bool ActsAsHolder() const { return is_holder_; }
 
@@ -149,29 +151,30 @@
   void SetLimits(std::uint64_t version,
                  const std::vector<PrepaidLimit>& limits);
 
+  // Holds `amount` tokens if this router's grant allows it.
   PrepaidVerdict Hold(Instant now, const CustomerName& customer, Tokens amount);
-  // Ends a hold of `held` tokens. `cost`: the tokens handed out, 0 if nothing
-  // ran.
+  // Ends a hold of `held` tokens. `cost` is the number of tokens spent, 0 if
+  // nothing ran.
   void Settle(Instant now, const CustomerName& customer, Tokens held,
               Tokens cost);
   bool IsLimited(const CustomerName& customer) const {
     return limits_.contains(customer);
   }
-  // Sum of the holds that wait for a larger grant.
+  // Sets the sum of the holds that wait for a larger grant.
   void SetWaiting(const CustomerName& customer, Tokens amount);
 
   bool NeedsRead(Instant now) const;
-  // Another router, `peer`, has grants. The record is read again if it doesn't
-  // show `peer` as a member.
+  // Notes that another router, `peer`, has grants. The record is read again if
+  // it doesn't show `peer` as a member.
   void OnPeerSeen(const Incarnation& peer);
   void OnRead(Instant now, const PrepaidState& state);
   void OnReadFailed(Instant now);
-  // The store has reported this era.
+  // Notes the era that the store has reported.
   void OnStoreEra(std::int64_t era);
   std::optional<PrepaidWrite> NextWrite(Instant now);
   void OnWritten(Instant now, PrepaidOutcome outcome, std::int64_t revision);
-  // After kRejected: the record that the store returned, if the spend account
-  // had the expected revision.
+  // Takes the record that the store returned with kRejected. Call only if the
+  // spend account had the expected revision.
   void OnNewerRecord(Instant now, std::int64_t revision,
                      const PrepaidRecord& record);
 
@@ -182,7 +185,7 @@
   std::optional<Tokens> TransferOut(Instant now, const CustomerName& customer,
                                     const Incarnation& receiver, Tokens amount,
                                     bool all);
-  // Applies a transfer. `total`: the running total of what `giver` has
+  // Applies a transfer. `total` is the running total of what `giver` has
   // transferred to this router.
   void OnTransfer(const CustomerName& customer, const Incarnation& giver,
                   Tokens total);
@@ -197,8 +200,8 @@
 
   // The tokens that this router may hold now.
   Tokens Allowance(Instant now, const CustomerName& customer) const;
-  // Whether the record no longer shows this router, as a later incarnation has
-  // replaced it. Then nothing may be spent any more.
+  // Whether the record no longer shows this router, because a later incarnation
+  // of its VM has charged its grants. Then nothing may be spent any more.
   bool Fenced() const { return fenced_; }
   const PrepaidRecord* LatestRecord() const {
     return confirmed_ ? &confirmed_->record : nullptr;
@@ -228,7 +231,8 @@
   void ResizeGrants(Instant now, StoreView& view) const;
   void Withhold(Instant now, StoreView& view) const;
   void MeasureSettling(Instant now, const PrepaidRecord& next);
-  // The store has another record; this router's account is unchanged.
+  // Replaces the confirmed record by the store's; this router's account is
+  // unchanged.
   void ReplaceRecord(Instant now, KeyRevision at, PrepaidRecord record);
   void Confirm(Instant now, StoreView view);
 
@@ -239,8 +243,9 @@
   std::uint64_t limits_version_ = 0;
   std::map<CustomerName, Tokens> limits_;
   LocalAccounts accounts_;
-  // The latest known state, and those of the writes that may have replaced it.
+  // The latest known state of the store.
   std::optional<StoreView> confirmed_;
+  // The states that the unanswered writes lead to.
   std::vector<StoreView> unconfirmed_;
   // Accounts of earlier incarnations of this VM, to be removed.
   std::map<Incarnation, StoredSpend> predecessors_;
--- a/prepaid/prepaid_policy.h
+++ b/prepaid/prepaid_policy.h
@@ -30,17 +30,18 @@
   // Upper bound of the headroom, as a fraction of the remaining tokens.
   double max_headroom_share = 0.6;
   // Baseline and headroom apply in full while the remaining tokens last this
-  // long at the rate at which all routers spend them; below that, both fall in
-  // proportion. Tokens that an outage leaves unspent can be spent after it, but
-  // tokens charged after a power loss are gone. On three deployments, 30 s
-  // served 0.019, 0.007 and 0.010 more of what callers are owed on days with
-  // faults, and cost 0.02 to 0.06 on days with store outages alone.
-  // docs/design/prepaid.md also has 20 and 45 s.
+  // long at the rate at which all routers spend them; if the tokens last for
+  // less, baseline and headroom fall in proportion. Tokens that an outage
+  // leaves unspent can be spent after it, but tokens charged after a power loss
+  // are gone. On three deployments, 30 s served 0.019, 0.007 and 0.010 more of
+  // what callers are owed on days with faults, and cost 0.02 to 0.06 on days
+  // with store outages alone. docs/design/prepaid.md also has figures for 20
+  // and 45 s.
   Duration full_size_horizon = std::chrono::seconds(30);
   // Fraction of a grant's target size that a router may spend before
   // `withhold_time` has passed. With 0.25, a `withhold_time` of 2 s and reports
-  // every 0.6 s, two days scored 0.505 and 0.480; with 0.35, 3 s and 1 s, they
-  // scored 0.466 and 0.491.
+  // every 0.6 s, simulations of two days gave callers 0.505 and 0.480 of what
+  // they are owed; with 0.35, 3 s and 1 s, it was 0.466 and 0.491.
   double spendable_share = 0.25;
   // How long after a write the withheld tokens may not be spent.
   Duration withhold_time = std::chrono::milliseconds(2000);
@@ -56,7 +57,7 @@
   Duration record_transfers_every = std::chrono::milliseconds(1500);
   // Shortest time between two writes.
   Duration spacing = std::chrono::milliseconds(400);
-  // The same while a request waits for a grant.
+  // Shortest time between two writes while a request waits for a grant.
   Duration urgent_spacing = std::chrono::milliseconds(10);
   // Pause after a call that the store didn't answer, before the next write and
   // before a read that is due only because the record is old.
@@ -75,10 +76,12 @@
 
   // Age at which the record is read again.
   Duration refresh_every = std::chrono::seconds(6);
-  // The same per member, if that adds up to more, so that the fleet's total
-  // read rate doesn't grow with its size.
+  // Age per member of the record at which the record is read again, if that
+  // adds up to more than `refresh_every`, so that the fleet's total read rate
+  // doesn't grow with its size.
   Duration refresh_per_member = std::chrono::milliseconds(750);
-  // The same while a request waits for more than this router may spend.
+  // Age at which the record is read again while a request waits for more than
+  // this router may spend.
   Duration refresh_waiting = std::chrono::milliseconds(400);
 };
 
--- a/prepaid/prepaid_record.cc
+++ b/prepaid/prepaid_record.cc
@@ -140,8 +140,8 @@
     const auto grant = entry.grants.find(member);
     if (grant == entry.grants.end()) continue;
     const Tokens returned = WithheldIn(unspent, name);
-    // Negative if the member gave away received tokens beyond its grant. The
-    // charge is corrected when the giver records the transfer to the member.
+    // The charge is negative if the member gave away received tokens beyond its
+    // grant. It is corrected when the giver records the transfer to the member.
     const Tokens charge = grant->second - returned;
     entry.settled += charge;
     entry.contributed[member] += charge;
@@ -174,8 +174,8 @@
   const Tokens amount = total - recorded;
   if (amount <= 0) return;
   recorded = total;
-  // A side that is no longer a member has no grant: it was charged, so the
-  // charge is corrected instead.
+  // A router that is no longer a member has no grant: its grant was charged, so
+  // the charge is corrected instead.
   if (HasMember(pair.giver)) {
     entry.grants[pair.giver] -= amount;
   } else {
--- a/prepaid/prepaid_record.h
+++ b/prepaid/prepaid_record.h
@@ -26,22 +26,23 @@
 // counts once.
 //
 // Dead members. A later incarnation on the same VM proves that the earlier one
-// is dead. Its grant is then charged as spent, because how much of it was spent
-// is unknown. Transfers that are recorded afterwards correct the charge: tokens
-// that the dead router had given away weren't spent by it, and tokens that it
-// had received were.
+// is dead. The grant of the dead one is then charged as spent, because how much
+// of it was spent is unknown. Transfers that are recorded afterwards correct
+// the charge: tokens that the dead router had given away weren't spent by it,
+// and tokens that it had received were.
 //
-// Withheld tokens. To make that charge small, most of a grant is withheld: the
-// holder spends none of it until `withhold_time` has passed since the stamp of
-// its last write, by the machine's steady clock. If the later incarnation
-// started before then, by the same clock of the same boot, the withheld tokens
-// are proven unspent and are returned. The restart proves the holder's death;
-// the clock only bounds what the holder can have done before. If the store is
-// unreachable for longer than that time, the full grant may be spent.
+// Withheld tokens. To make the charge for a dead member small, most of a grant
+// is withheld: the holder spends none of it until `withhold_time` has passed
+// since the stamp of its last write, by the machine's steady clock. If the
+// later incarnation started before then, by the same clock of the same boot,
+// the withheld tokens are proven unspent and are returned. The restart proves
+// the holder's death; the clock only bounds what the holder can have done
+// before. If the store is unreachable for longer than that time, the full grant
+// may be spent.
 //
 // Eras. A store that is restored from an older copy (base/store_revision.h) has
 // lost grants that are being spent, and spending that was settled. The routers
-// that know of them write them again: `MergeRecord` (prepaid/record_merge.h)
+// that know of these write them again: `MergeRecord` (prepaid/record_merge.h)
 // has to determine which of two records shows the later state of each member.
 // The record therefore has the number of each member's latest write, what each
 // member has contributed to `settled`, and the members that are gone. Members
@@ -77,17 +78,19 @@
 
 struct PrepaidEntry {
   Tokens limit = 0;
-  // Of the configuration that set `limit`.
+  // Version of the configuration that set `limit`.
   std::uint64_t limit_version = 0;
   Tokens settled = 0;
   std::map<Incarnation, Tokens> grants;
   std::map<TransferPair, Tokens> transferred;
-  // What each member, and each former member in `gone`, has spent or was
-  // charged. The rest of `settled` is from routers that were pruned.
+  // The part of `settled` that each member, or former member in
+  // `PrepaidRecord::gone`, has spent or was charged. The rest of `settled` is
+  // from routers that were removed from `gone`.
   std::map<Incarnation, Tokens> contributed;
 
+  // Sum of all grants.
   Tokens Outstanding() const;
-  // What may still be granted. Negative if the limit was lowered below what is
+  // What may still be granted; negative if the limit was lowered below what is
   // settled and granted.
   Tokens Free() const { return limit - settled - Outstanding(); }
 
@@ -105,10 +108,11 @@
 
 // One router's spend account. Every write of the router replaces it.
 struct SpendAccount {
-  // Number of the write. A writer that got no answer reads it to learn whether
-  // the write took effect.
+  // Number of the write. A router that got no answer to a write reads this
+  // number to learn whether the write took effect.
   std::uint64_t sequence = 0;
-  // The machine's steady clock at that write, and the boot that it counts from.
+  // The machine's steady clock at the write, and the boot from which the clock
+  // counts.
   std::int64_t stamp_ms = 0;
   std::string boot;
   // The store's era, as the writer knew it.
@@ -134,7 +138,8 @@
   // member in `gone`.
   std::map<Incarnation, std::uint64_t> writes;
 
-  // Without a bound, the record would grow with every router that ends.
+  // Upper bound of the size of `gone`. Without it, the record would grow with
+  // every router that ends.
   static constexpr std::size_t kMaxGone = 16;
 
   bool HasMember(const Incarnation& it) const { return members.contains(it); }
@@ -148,25 +153,25 @@
   // neither side is a member, as no router is left to record them again.
   void PruneGone();
 
-  // Charges the grants of a member that is dead or leaves, and removes it.
-  // `unspent`: the member's spend account, if its withheld tokens are proven
-  // unspent; else null. Returns the sum charged.
+  // Charges the grants of a member that is dead or leaves, and removes the
+  // member. `unspent` is the member's spend account if the withheld tokens are
+  // proven unspent; else null. Returns the sum charged.
   Tokens ChargeAndRemove(const Incarnation& member,
                          const SpendAccount* unspent);
 
-  // Raises the running total of `pair` to `total`; no effect if it isn't
-  // higher than the recorded one.
+  // Raises the running total of `pair` to `total`. Does nothing if `total`
+  // isn't higher than the recorded one.
   void RecordTransfer(const CustomerName& customer, const TransferPair& pair,
                       Tokens total);
 
   bool operator==(const PrepaidRecord&) const = default;
 };
 
-// CBOR.
+// These write and read CBOR.
 std::string EncodeSpend(const SpendAccount& spend);
 std::optional<SpendAccount> DecodeSpend(std::string_view bytes);
 std::string EncodePrepaid(const PrepaidRecord& record);
-// std::nullopt if `bytes` isn't a record.
+// Returns std::nullopt if `bytes` isn't a record.
 std::optional<PrepaidRecord> DecodePrepaid(std::string_view bytes);
 
 }  // namespace quaytrack
--- a/prepaid/record_change.h
+++ b/prepaid/record_change.h
@@ -8,8 +8,9 @@
 //   MergeSpending(self, view);
 //   ...                                          // then sizes the grants
 //
-// Each keeps the invariant of prepaid/prepaid_record.h: the sum of settled and
-// granted tokens stays the same, or falls by tokens that are proven unspent.
+// Each function keeps the invariant of prepaid/prepaid_record.h: the sum of
+// settled and granted tokens stays the same, or falls by tokens that are proven
+// unspent.
 //
 // Stateless. Units: tokens, milliseconds where a name ends in `_ms`.
 
@@ -41,9 +42,9 @@
 // An earlier incarnation on this VM whose grants a write charges.
 struct ChargedPredecessor {
   Incarnation dead;
-  // Its withheld tokens are proven unspent and are returned.
+  // Whether its withheld tokens are proven unspent and are returned.
   bool withheld_unspent = false;
-  // From its last write to the start of this process.
+  // Time from its last write to the start of this process.
   std::int64_t age_ms = 0;
   // Tokens charged as spent, for all customers together.
   Tokens charged = 0;
@@ -56,18 +57,19 @@
 void ReportSpending(const LocalAccounts& accounts, StoreView& view);
 
 // Removes the earlier incarnations of this VM from the record: they are dead,
-// since only one runs at a time. `accounts`: their accounts, as far as the
-// store has them. Withheld tokens are returned if this process started within
-// `withhold_time` of their holder's last write, by the same clock of the same
-// boot, because the holder can't have spent them. An account of an earlier era
-// than the record's proves nothing, as a later write of it may be lost.
+// since only one runs at a time. `accounts` has the spend accounts of these
+// incarnations, as far as the store has them. Withheld tokens are returned if
+// this process started within `withhold_time` of their holder's last write, by
+// the same clock of the same boot, because the holder can't have spent them. An
+// account of an earlier era than the record's proves nothing, as a later write
+// of the account may be lost.
 std::vector<ChargedPredecessor> ChargePredecessors(
     const PrepaidIdentity& identity,
     const std::map<Incarnation, StoredSpend>& accounts, Duration withhold_time,
     PrepaidRecord& record);
 
-// Sets the limits of configuration `version`. Limits of the same or a later
-// version stay.
+// Sets the limits of configuration `version`. Limits that the same or a later
+// version has set stay.
 void ApplyLimits(std::uint64_t version,
                  const std::map<CustomerName, Tokens>& limits,
                  PrepaidRecord& record);
--- a/prepaid/record_merge.cc
+++ b/prepaid/record_merge.cc
@@ -12,7 +12,7 @@
   return it == map.end() ? typename Map::mapped_type{} : it->second;
 }
 
-// What a router has received by transfers, less what it has given. May be
+// What a router has received by transfers, less what it has given; may be
 // negative.
 Tokens NetReceived(const PrepaidEntry& entry, const Incarnation& router) {
   Tokens out = 0;
@@ -38,7 +38,8 @@
           ValueIn(entry.contributed, router)};
 }
 
-// What was settled by routers that were pruned from the record.
+// What was settled by routers that are neither members nor in
+// `PrepaidRecord::gone`.
 Tokens SettledByPruned(const PrepaidEntry& entry) {
   Tokens out = entry.settled;
   for (const auto& [router, amount] : entry.contributed) out -= amount;
--- a/prepaid/record_merge.h
+++ b/prepaid/record_merge.h
@@ -7,11 +7,13 @@
 // changed since. The two records are merged by these rules:
 //
 //   - A member's balance is what it has drawn, apart from transfers, and what
-//     it has contributed. The one with the higher write number is the later, as
-//     members change only their own balances.
-//   - Transfers are running totals, so the higher one is the later.
+//     it has contributed to `settled`. Of two balances, the one in the record
+//     with the member's higher write number is the later, as members change
+//     only their own balances.
+//   - Transfers are running totals, so the higher total is the later.
 //   - A member that either record shows as gone is gone. It has spent what it
-//     was charged, or, if the other record shows a later balance, all of that.
+//     was charged, or, if the other record shows a later balance, all of that
+//     balance.
 //
 // What neither record shows is lost. Every member therefore declares its own
 // state (prepaid/prepaid_ledger.h).
--- a/prepaid/store_view.cc
+++ b/prepaid/store_view.cc
@@ -50,7 +50,8 @@
   const PrepaidEntry& entry = found->second;
   Tokens out = GrantIn(entry, self) - account.unreported -
                SpentIn(view.spend, customer).spent;
-  // Both terms above include what this view reports: add it back once.
+  // What this view reports is in `unreported` and in the view's account, so it
+  // was subtracted twice: add it back once.
   const auto reported = view.reported.find(customer);
   if (reported != view.reported.end()) out += reported->second;
   for (const auto& [giver, total] : account.transferred_in) {
--- a/prepaid/store_view.h
+++ b/prepaid/store_view.h
@@ -31,7 +31,7 @@
 struct StoredSpend {
   std::int64_t revision = 0;
   SpendAccount spend;
-  // See `KeyRevision`.
+  // Era of the account's key; see `KeyRevision` below.
   std::int64_t key_era = 0;
 };
 
@@ -41,7 +41,7 @@
 // restored.
 struct KeyRevision {
   std::int64_t key_era = 0;
-  // 0 if the key doesn't exist.
+  // Revision of the key; 0 if the key doesn't exist.
   std::int64_t revision = 0;
 };
 
@@ -68,9 +68,11 @@
   Tokens held = 0;
   // Worst-case costs of the requests that wait for a larger grant.
   Tokens waiting = 0;
+  // This router's spending.
   DecayingRate spending{kSpendingTime};
-  // Time over which the rate of `settling` is averaged. It is longer because
-  // routers settle only when they change the record, every few seconds.
+  // Time over which the rate of `settling` is averaged. It is longer than
+  // `kSpendingTime` because routers settle only when they change the record,
+  // every few seconds.
   static constexpr Duration kSettlingTime = std::chrono::seconds(10);
   // Spending of all routers together, as the record shows it settled.
   DecayingRate settling{kSettlingTime};
@@ -81,11 +83,11 @@
 
 using LocalAccounts = std::map<CustomerName, LocalAccount>;
 
-// An empty account if there is none.
+// The account of `customer`; an empty one if there is none.
 const LocalAccount& AccountOf(const LocalAccounts& accounts,
                               const CustomerName& customer);
 
-// These return 0 for values that don't exist.
+// The next four functions return 0 for values that don't exist.
 CustomerSpend SpentIn(const SpendAccount& spend, const CustomerName& customer);
 Tokens GrantIn(const PrepaidEntry& entry, const Incarnation& self);
 // The router's share of the settled tokens.
--- a/rollout/evidence.cc
+++ b/rollout/evidence.cc
@@ -3,7 +3,7 @@
 namespace quaytrack {
 namespace {
 
-// Operators may configure many routes. Those beyond this number are counted
+// Operators may configure many routes. Routes beyond this number are counted
 // together, under `kOtherRoutes`.
 constexpr std::size_t kMaxRoutes = 32;
 constexpr char kOtherRoutes[] = "";
--- a/rollout/evidence.h
+++ b/rollout/evidence.h
@@ -6,9 +6,9 @@
 //   it.Add("review", /*is_next=*/true, outcome);
 //   total.Merge(it);
 //
-// Both versions are counted at the same time and on the same routes, so that
-// load, dark halls and problems of callers affect both alike and count against
-// neither.
+// The new version and the others are counted at the same time and on the same
+// routes, so that load, unreachable halls and problems of callers affect all
+// alike and count against none.
 
 #ifndef QUAYTRACK_ROLLOUT_EVIDENCE_H_
 #define QUAYTRACK_ROLLOUT_EVIDENCE_H_
@@ -24,10 +24,11 @@
 
 // How one attempt at a target ended.
 struct AttemptOutcome {
-  // The target failed: it answered with an error of its own, or not completely.
+  // Whether the target failed: it answered with an error of its own, or not
+  // completely.
   bool failed = false;
   // Time until the answer began, divided by the time expected for the tokens to
-  // be prefilled; in milliseconds if no time is expected.
+  // be prefilled; if no such time is known, the time itself in milliseconds.
   std::optional<double> first_event;
   // Milliseconds between two events, on average.
   std::optional<double> pause;
@@ -42,13 +43,14 @@
   bool operator==(const RouteEvidence&) const = default;
 };
 
-// By the route's name.
+// The evidence on each route, by the route's name.
 using RoutesEvidence = std::map<std::string, RouteEvidence>;
 
 // The evidence on one service.
 struct VersionEvidence {
-  // The version that is rolled out, and all other versions.
+  // Evidence on the version that is rolled out.
   RoutesEvidence next;
+  // Evidence on all other versions.
   RoutesEvidence current;
 
   void Add(const std::string& route, bool is_next,
--- a/rollout/order_book.h
+++ b/rollout/order_book.h
@@ -7,9 +7,10 @@
 //   for (const ServiceName& it : all.DropCarried()) ...  // some time later
 //
 // A store that was restored from an older copy may lack an order that operators
-// are about to write again. The first reading of a later era therefore removes
-// no order: the missing ones are carried over, and `DropCarried` removes those
-// that were not written again by then.
+// are about to write again. The first reading of a later era
+// (base/store_revision.h) therefore removes no order: orders that are missing
+// in the store are carried over, and `DropCarried` removes those that were not
+// written again by then.
 //
 // Owns the orders; does not read the clock; cannot fail.
 
@@ -53,7 +54,8 @@
     return out;
   }
 
-  // Return whether anything changed.
+  // `Put` adds or replaces an order, and `Remove` removes one. They return
+  // whether anything changed.
   bool Put(const RolloutOrder& order) {
     carried_.erase(order.service);
     const auto it = orders_.find(order.service);
@@ -68,6 +70,7 @@
     return orders_.erase(service) > 0;
   }
 
+  // Whether any order is carried over.
   bool HasCarried() const { return !carried_.empty(); }
   std::vector<ServiceName> DropCarried() {
     const std::vector<ServiceName> out(carried_.begin(), carried_.end());
@@ -75,7 +78,7 @@
     return out;
   }
 
-  // Null if there is none.
+  // The order for `service`; null if there is none.
   const RolloutOrder* Find(const ServiceName& service) const {
     const auto it = orders_.find(service);
     return it == orders_.end() ? nullptr : &it->second;
--- a/rollout/rollout.cc
+++ b/rollout/rollout.cc
@@ -133,8 +133,9 @@
   return out;
 }
 
-// Routers without a report are waited for until `kReportTimeout` has passed
-// since the last change of state.
+// Whether no router has requests running at the other versions. Routers without
+// a report are waited for until `kReportTimeout` has passed since the last
+// change of state.
 bool Rollout::IsDrained(Instant now, const RolloutContext& context) const {
   const RolloutReport local = Report(now, context);
   if (!local.drained) return false;
--- a/rollout/rollout.h
+++ b/rollout/rollout.h
@@ -25,17 +25,17 @@
 //
 // Deciders: a few routers, the deciders, add up the evidence of all routers.
 // Each router reports to one of them, and they send each other their sums. Any
-// decider may take a step, and all other routers follow the most advanced
+// decider may advance the state, and all other routers follow the most advanced
 // state, so no election is needed. Only a change in the store ends a roll-out,
 // and the first such change is final.
 //
 // A router acts on a state only while it is in contact with the deciders. A
 // router that has no report from a decider for `kDeciderTimeout`, or a decider
-// without reports from most others, sends the version no requests until it has.
-// This bounds the share that the version gets of all requests through any
-// network cut or restart: each router limits its own requests, and a router
-// that cannot learn of a withdrawal stops sending to the version within that
-// time.
+// without reports from most other deciders, sends the version no requests until
+// it has such reports. This bounds the share that the version gets of all
+// requests through any network cut or restart: each router limits its own
+// requests, and a router that cannot learn of a withdrawal stops sending to the
+// version within that time.
 //
 // Owns the evidence and reports on one order. Does not read the clock, and does
 // not write to the store: relay/rollout_driver.h does.
@@ -67,32 +67,33 @@
   // The decider that adds up this report; empty for the sum of a decider.
   VmName counted_by;
   VersionEvidence evidence;
-  // The sender, and all routers in its sum, have no requests running at the
-  // other versions and send them no more.
+  // Whether the sender, and all routers in its sum, have no requests running at
+  // the other versions and send none there any more.
   bool drained = false;
   // Number of routers in the sum.
   std::uint64_t routers = 1;
 };
 
-// The state of the router that a Rollout needs to know.
+// What a Rollout needs to know of its router.
 struct RolloutContext {
   VmName self;
-  // This router is a decider.
+  // Whether this router is a decider.
   bool is_decider = false;
   // Number of deciders and of routers, including this one.
   std::size_t deciders = 1;
   std::size_t routers = 1;
-  // The decider that adds up the reports of this router; empty if it reaches
-  // none.
+  // The decider that adds up the reports of this router; empty if this router
+  // reaches no decider.
   VmName counted_by;
-  // Some target of the version accepts work.
+  // Whether some target of the version accepts work.
   bool has_next = false;
-  // This router's requests that run at other versions.
+  // Number of this router's requests that run at other versions.
   std::size_t running_at_other_versions = 0;
 };
 
 // Which share of the requests of a service may go to which version.
 struct RolloutRule {
+  // Share of the next version, which the service moves to.
   double share = 0;
   // Whether versions other than the next one may get requests.
   bool allow_others = true;
@@ -109,17 +110,17 @@
     double trial_share = 0.05;
   };
 
-  // Shares of the duration of the order.
+  // Shares of the duration of the order, used as described at the top.
   static constexpr double kTrialShare = 0.3;
   static constexpr double kMaxTrialShare = 0.55;
   static constexpr double kStepShare = 0.07;
   // Time at the end that is reserved for writing the result to the store.
   static constexpr double kReservedShare = 0.05;
-  // A state is acted on for this long without a report from a decider. Deciders
-  // report each second.
+  // Time for which a router acts on a state without a report from a decider.
+  // Deciders report each second.
   static constexpr Duration kDeciderTimeout = std::chrono::milliseconds(1500);
-  // A router without a report for this long is not waited for, and its evidence
-  // is dropped.
+  // If a router has sent no report for this long, its evidence is dropped and
+  // it is no longer waited for.
   static constexpr Duration kReportTimeout = std::chrono::milliseconds(3500);
 
   Rollout(RolloutOrder order, Instant now, const RolloutChart& chart,
@@ -138,21 +139,23 @@
   }
   const VersionEvaluator& evaluator() const { return evaluator_; }
 
-  // The same order was written again in a later era of the store.
+  // Replaces the order by the same order, written again in a later era of the
+  // store.
   void Renew(const RolloutOrder& order) { order_ = order; }
   void OnAnswer(const std::string& route, bool is_next,
                 const AttemptOutcome& outcome) {
     local_evidence_.Add(route, is_next, outcome);
   }
-  // `from_decider` is decided by the router list of this router. Reports on
-  // another order are ignored.
+  // Takes a report. `from_decider`: whether the sender is a decider by the
+  // router list of this router. Reports on another order are ignored.
   void OnReport(Instant now, const Incarnation& from, bool from_decider,
                 const RolloutReport& report, const RolloutContext& context);
-  // The store lists the order as running, completed or rolled back.
+  // Notes that the store lists the order as running, completed or rolled back.
   RolloutAction OnStored(RolloutEvent event, Instant now) {
     return Apply(event, now);
   }
-  // Returns what is to be written to the store, if anything.
+  // On a decider, raises the share of the version or withdraws the version when
+  // that is due. Returns what is to be written to the store, if anything.
   RolloutAction Step(Instant now, const RolloutContext& context);
 
   RolloutRule Rule(Instant now, const RolloutContext& context) const;
--- a/rollout/rollout_chart.h
+++ b/rollout/rollout_chart.h
@@ -5,10 +5,12 @@
 //   trial      a small share of the requests goes to the version
 //   quarter, half, full
 //              there is no evidence against the version, and it gets this share
-//   withdrawn  there is evidence against the version; it gets no requests, and
-//              the result is to be written to the store
+//   withdrawn  there is evidence against the version, or the time is nearly
+//              over; the version gets no requests, and the result is to be
+//              written to the store
 //   completed, reverted
-//              the store says so; both are final
+//              the store lists the order as completed or reverted; both states
+//              are final
 //
 // The order of the states is their precedence between routers: a later state
 // replaces an earlier one, and a state never goes back.
@@ -36,9 +38,9 @@
   kStarted,    // the store lists the order as running
   kAdvance,    // the version may get a larger share
   kDrained,    // no router has requests running at the other versions
-  kWithdraw,   // the version is bad, or the time is over
-  kCompleted,  // the store says so
-  kReverted,   // the store says so
+  kWithdraw,   // the version is bad, or the time is nearly over
+  kCompleted,  // the store lists the order as completed
+  kReverted,   // the store lists the order as reverted
 };
 enum class RolloutAction {
   kNone,
--- a/rollout/rollout_order.h
+++ b/rollout/rollout_order.h
@@ -5,9 +5,9 @@
 //   if (order.IsEquivalentTo(current) && later_era) resume(order);
 //   else start(order);
 //
-// A store that was restored has the same order at a revision of a later era; a
-// roll-out in progress then continues. Within one era, an order that is written
-// again is a new one.
+// A store that was restored (base/store_revision.h) has the same order at a
+// revision of a later era; a roll-out in progress then continues. Within one
+// era, an order that is written again is a new order.
 
 #ifndef QUAYTRACK_ROLLOUT_ROLLOUT_ORDER_H_
 #define QUAYTRACK_ROLLOUT_ROLLOUT_ORDER_H_
@@ -21,7 +21,7 @@
 
 struct RolloutOrder {
   ServiceName service;
-  // Version of the targets that are to get all of its requests.
+  // Version of the targets that are to get all requests of the service.
   VersionName version;
   // Time from when the order was written until the move has to be over, whether
   // completed or reverted.
--- a/rollout/time_histogram.h
+++ b/rollout/time_histogram.h
@@ -7,7 +7,8 @@
 //   it.CountAbove(it.Median() * 4);
 //
 // A value counts as the upper bound of its bucket, so a median is up to 1.5
-// times too large. Any unit may be used if all use the same.
+// times too large. The values of one histogram, and of histograms that are
+// merged, have the same unit, which may be any.
 
 #ifndef QUAYTRACK_ROLLOUT_TIME_HISTOGRAM_H_
 #define QUAYTRACK_ROLLOUT_TIME_HISTOGRAM_H_
@@ -23,7 +24,8 @@
 
 class TimeHistogram {
  public:
-  // Upper bounds from 0.1 to 0.1 * 1.5^32, which is 43,000.
+  // The upper bounds of the buckets go from 0.1 to 0.1 * 1.5^32, which is
+  // 43,000.
   static constexpr std::size_t kBuckets = 33;
   static constexpr double kMinBound = 0.1;
   static constexpr double kGrowth = 1.5;
@@ -41,7 +43,7 @@
   std::uint64_t total() const {
     return std::accumulate(counts_.begin(), counts_.end(), std::uint64_t{0});
   }
-  // 0 if the histogram is empty.
+  // The median; 0 if the histogram is empty.
   double Median() const {
     const std::uint64_t half = (total() + 1) / 2;
     std::uint64_t seen = 0;
--- a/rollout/version_judge.cc
+++ b/rollout/version_judge.cc
@@ -20,11 +20,11 @@
 constexpr double kPriorAnswers = 10;
 constexpr double kPriorBad = 0.5;
 
-// An answer begins late above this many medians. A prompt that is not cached
-// costs up to three times as much as one that is.
+// An answer begins late if it takes more than this many medians. A prompt that
+// is not cached costs up to three times as much as a cached one.
 constexpr double kLateFactor = 4;
-// Events come slowly above this many medians; their pace does not depend on
-// caches.
+// Events come slowly if the pause between them is above this many medians; the
+// pause does not depend on caches.
 constexpr double kSlowFactor = 2.5;
 // Minimum number of times of the current version for a median.
 constexpr std::uint64_t kMinTimes = 15;
--- a/rollout/version_judge.h
+++ b/rollout/version_judge.h
@@ -11,16 +11,16 @@
 // mean several times the median of the current version on that route (constants
 // in the .cc). Each is a sequential probability ratio test (Wald 1945) between
 // "no worse than the current version, with an allowance" and "worse by a fifth
-// of the answers". The share of the current version is measured at the same
-// time, so a problem that affects both versions makes no difference.
+// of the answers". The current version's share is measured at the same time, so
+// a problem that affects both versions makes no difference.
 //
 // Bad: a cumulative sum (Page 1954) of one test passes `kAlarm`. The sum never
 // falls below zero, so a version that turns bad later is found as fast as one
 // that was bad from the start.
 //
-// Good: over all routes, the test of failures accepts with `kAccept`, no sum is
-// near its alarm, and the version has given some answers on each route that has
-// a sufficient share of the requests.
+// Good: over all routes, the sum of the test of failures has fallen to
+// `kAccept`, no cumulative sum is near `kAlarm`, and the version has given some
+// answers on each route that has a sufficient share of the requests.
 //
 // Does not read the clock. Keeps the counts of the last call. Counts that have
 // fallen, because a router that reported them is gone, count as no new answers.
@@ -50,18 +50,21 @@
 
 class VersionEvaluator {
  public:
-  // A version that is no worse than the current one passes this sum with a
-  // probability of about e^-10 each time the sum starts from zero.
+  // The cumulative sum of a version that is no worse than the current one
+  // reaches this value with a probability of about e^-10 each time it starts
+  // from zero.
   static constexpr double kAlarm = 10;
-  // A version that is worse by the margin of the test is accepted with a
+  // Value of the sum of the test of failures at which a version is accepted. A
+  // version that is worse by the margin of the test is accepted with a
   // probability of e^-4.6, 1 in 100.
   static constexpr double kAccept = -4.6;
 
-  // The test with the largest sum, for the log.
+  // The result of one test, for the log.
   struct Finding {
     std::string route;
     Symptom symptom = Symptom::kFailed;
-    // Counts of the version that is rolled out.
+    // Number of answers of the version that is rolled out, and of bad ones
+    // among them.
     std::uint64_t answers = 0;
     std::uint64_t bad = 0;
     // The share of bad answers of the current version.
@@ -73,7 +76,8 @@
   void Observe(const VersionEvidence& evidence);
   bool IsBad() const { return worst_.sum >= kAlarm; }
   bool IsGood() const;
-  // There is no evidence against the version, though there may be few answers.
+  // Whether there is no evidence against the version, though there may be few
+  // answers.
   bool IsProbablyGood() const {
     return accepted_ <= 0 && worst_.sum < kNearAlarm;
   }
@@ -103,8 +107,8 @@
   std::map<std::pair<std::string, Symptom>, Cusum> cusums_;
   // Sum of the test of failures over all routes.
   double accepted_ = 0;
-  // Some route with a sufficient share of the requests has too few answers of
-  // the version.
+  // Whether some route with a sufficient share of the requests has too few
+  // answers of the version.
   bool has_too_few_answers_ = true;
   Finding worst_;
 };
