--- a/dispatch/crash_blame.h
+++ b/dispatch/crash_blame.h
@@ -8,9 +8,9 @@
 // A target that crashes loses all its requests, up to as many as it has slots,
 // and any of them may be the cause. A report says that a request had just begun
 // to run at a target when that target ended. Reports also name innocent
-// requests, and a retried one may be named several times, because it may meet
-// the same harmful request again within seconds. The rule therefore looks at
-// all reports of the fleet together:
+// requests, and a retried request may be named several times, because it may
+// meet the same harmful request again within seconds. The rule therefore looks
+// at all reports of the fleet together:
 //
 //   1. If a request later ran at a target to its end, or well past its
 //      beginning, its earlier reports do not count.
@@ -22,13 +22,13 @@
 //
 // The decision depends on the reports alone. Routers with the same reports
 // agree, whatever the order of arrival, and a request that was wrongly blamed
-// because reports were missing is cleared when they arrive. The platform allows
-// three crashes before a request has to be recognized. In simulated fleets of
-// twelve targets (testing/crash_blame_test.cc), none of 73,000 innocent
-// requests was blamed beside one or two harmful requests, and 4 of 37,000
-// beside four. Where targets crash without a harmful request, none was blamed
-// at one crash each 2 s, 6 of 37,000 at one each 0.7 s, and 109 at one each 0.3
-// s, which leaves at most three targets up.
+// because reports were missing is cleared when these reports arrive. The
+// platform allows three crashes before a request has to be recognized. In
+// simulations with twelve targets (testing/crash_blame_test.cc), none of 73,000
+// innocent requests was blamed in fleets with one or two harmful requests, and
+// 4 of 37,000 with four. Where targets crash without a harmful request, none
+// was blamed at one crash each 2 s, 6 of 37,000 at one each 0.7 s, and 109 at
+// one each 0.3 s, which leaves at most three targets up.
 //
 // Memory is bounded (`kMaxRequests`). Requests that never return have one
 // report each and are evicted first. A report counts for the time
--- a/dispatch/placement.cc
+++ b/dispatch/placement.cc
@@ -615,7 +615,7 @@
   if (it == targets_.end()) return;
   State& state = it->second;
   PrefillSpeed& speed = speeds_[state.entry.service];
-  // At least a millisecond, to bound the ratio.
+  // The expected time is at least a millisecond, which bounds the ratio.
   const double expected = std::max(1.0, speed.FirstEventMs(state.prefill));
   const double ratio =
       std::clamp(Milliseconds(waited) / expected, 1.0, kMaxSlowness);
--- a/dispatch/placement.h
+++ b/dispatch/placement.h
@@ -288,7 +288,7 @@
   std::size_t cold(Instant now) const;
 
   // The learned prefill speeds by service, to be sent to peers. A router that
-  // has seen too few answers itself uses those of a peer.
+  // has seen too few answers itself uses the speeds of a peer.
   using Speeds = std::map<ServiceName, SpeedLine>;
   Speeds LearnedSpeeds() const;
   void SetPeerSpeeds(const Speeds& speeds);
--- a/dispatch/prefill_speed.h
+++ b/dispatch/prefill_speed.h
@@ -6,7 +6,7 @@
 //   const double ms = speed.PrefillMs(tokens);  // busy time of the engine
 //   const double wait = speed.FirstEventMs(tokens);
 //
-// Engines of one deployment prefill 20 tokens in a millisecond, those of
+// Engines of one deployment prefill 20 tokens in a millisecond, engines of
 // another 50, and no setting gives a router this speed. Placement needs the
 // speed to decide whether to wait for an engine that has parts of the prompt
 // cached, and to estimate how long prompts sent by peers keep an engine busy.
--- a/dispatch/rate_limits.h
+++ b/dispatch/rate_limits.h
@@ -18,7 +18,7 @@
 // gets the next version after the latest it knew, and only a later version
 // replaces an earlier one. Of two changes with the same version, which were
 // seen at the same time, the lower limit applies. A router that wrongly takes a
-// limit for ended learns of it again from the next answer of the target.
+// limit for ended learns of the limit again from the next answer of the target.
 //
 // A limit belongs to one start of a target, which is one run of its process
 // (TargetStart). After a restart, an answer of the new start may be attributed
--- a/dispatch/shared_rate.h
+++ b/dispatch/shared_rate.h
@@ -15,7 +15,7 @@
 // below). Each owner sends at most its share. Over longer periods, all owners
 // together keep to the rate itself.
 //
-// Lists may differ for a while. Entries are never removed from them, so an
+// Lists may differ for a while. Entries are never removed from a list, so an
 // outdated list lacks only the newest routers, and a router wrongly considers
 // itself an owner only if a newer router has displaced it. Each share is
 // therefore computed for twice the number of owners. The bound holds as long
--- a/fleet/fleet.h
+++ b/fleet/fleet.h
@@ -98,7 +98,7 @@
 
 // A router's place in an order of all routers on the list.
 struct RendezvousPlace {
-  // Number of routers before it.
+  // Number of routers before this one.
   std::size_t rank = 0;
   // Number of routers on the list.
   std::size_t routers = 1;
@@ -112,7 +112,7 @@
   // 0.195 with three, or 0.346 after other changes (docs/design/prepaid.md).
   std::size_t holders_per_hall = 3;
   // Holders in other halls to which a router that isn't a holder keeps links.
-  // It asks them when it can reach no holder of its hall.
+  // Such a router asks them when it can reach no holder of its hall.
   std::size_t links_to_other_halls = 2;
 };
 
--- a/fleet/target_registry.h
+++ b/fleet/target_registry.h
@@ -27,8 +27,8 @@
 // Around an outage of the platform's store, entries may lapse although their
 // targets are alive. So targets that disappear then can be kept for a while:
 //
-//   registry.KeepMissing();                  // the store is unreachable
-//   registry.StopKeeping();                  // it has been back for a while
+//   registry.KeepMissing();                  // the store doesn't answer
+//   registry.StopKeeping();                  // it has answered for a while
 //   for (const TargetName& it : registry.DropMissing()) ...   // not relisted
 //
 // relay/target_follower.h decides when to call these.
--- a/prepaid/grant_sizing.h
+++ b/prepaid/grant_sizing.h
@@ -26,10 +26,10 @@
 // is above `kHighWater`.
 //
 // Withheld tokens. These are all idle tokens beyond the waiting requests and
-// `spendable_share` of the target size. A successor gets them back if this
-// process dies (see prepaid/prepaid_record.h), so withholding more reduces what
-// is charged. When the spendable tokens fall below `kLowWater` of that share, a
-// report withholds less.
+// `spendable_share` of the target size. A successor gets the withheld tokens
+// back if this process dies (see prepaid/prepaid_record.h), so withholding more
+// reduces what is charged. When the spendable tokens fall below `kLowWater` of
+// that share, a report withholds less.
 //
 // Stateless. Relies on the views of prepaid/store_view.h. Units: tokens, and
 // fractions of 1.
--- a/prepaid/prepaid_ledger.h
+++ b/prepaid/prepaid_ledger.h
@@ -25,8 +25,8 @@
 // may be in: the last confirmed one, and that of each unanswered write. So a
 // write that returns tokens counts at once, and one that takes tokens counts
 // when it is known to be applied. All writes from one confirmed state compare
-// the spend account's revision, so at most one of them is applied; the
-// account's sequence number identifies it.
+// the spend account's revision, so at most one of these writes is applied; the
+// account's sequence number shows which.
 //
 // Restored store. A store that is restored from an older copy, in a later era,
 // may lack grants that are being spent, and settled spending. This router's
@@ -118,7 +118,7 @@
   PrepaidRecord record;
   // Whether the write declares this router's state in a later era of the store.
   bool declares = false;
-  // This router's account and the record of an earlier era, to be removed.
+  // The record and this router's account of an earlier era, to be removed.
   std::optional<KeyRevision> earlier_record;
   std::optional<KeyRevision> earlier_spend;
   // Accounts of earlier incarnations of this VM, to be removed.
@@ -180,8 +180,8 @@
 
   // Takes up to `amount` off this router's grant, for a peer. Returns the
   // running total to send to the peer, or std::nullopt if there is nothing to
-  // transfer. With `all`, everything idle may be transferred; otherwise half of
-  // it.
+  // transfer. With `all`, all idle tokens may be transferred; otherwise half of
+  // them.
   std::optional<Tokens> TransferOut(Instant now, const CustomerName& customer,
                                     const Incarnation& receiver, Tokens amount,
                                     bool all);
--- a/prepaid/prepaid_record.h
+++ b/prepaid/prepaid_record.h
@@ -34,11 +34,11 @@
 // Withheld tokens. To make the charge for a dead member small, most of a grant
 // is withheld: the holder spends none of it until `withhold_time` has passed
 // since the stamp of its last write, by the machine's steady clock. If the
-// later incarnation started before then, by the same clock of the same boot,
-// the withheld tokens are proven unspent and are returned. The restart proves
-// the holder's death; the clock only bounds what the holder can have done
-// before. If the store is unreachable for longer than that time, the full grant
-// may be spent.
+// later incarnation started before that time, by the same clock of the same
+// boot, the withheld tokens are proven unspent and are returned. The restart
+// proves the holder's death; the clock only bounds what the holder can have
+// done before. If the store is unreachable for longer than that time, the full
+// grant may be spent.
 //
 // Eras. A store that is restored from an older copy (base/store_revision.h) has
 // lost grants that are being spent, and spending that was settled. The routers
--- a/prepaid/record_change.h
+++ b/prepaid/record_change.h
@@ -1,5 +1,5 @@
-// The steps by which a write changes the record and this router's account. The
-// ledger applies them to a copy of the confirmed view, in this order:
+// The functions by which a write changes the record and this router's account.
+// The ledger applies them to a copy of the confirmed view, in this order:
 //
 //   ReportSpending(accounts, view);              // every write
 //   charged = ChargePredecessors(...);           // if it changes the record:
--- a/rollout/rollout.h
+++ b/rollout/rollout.h
@@ -24,10 +24,10 @@
 // the time is nearly over before it gets all requests.
 //
 // Deciders: a few routers, the deciders, add up the evidence of all routers.
-// Each router reports to one of them, and they send each other their sums. Any
-// decider may advance the state, and all other routers follow the most advanced
-// state, so no election is needed. Only a change in the store ends a roll-out,
-// and the first such change is final.
+// Each router reports to one decider, and the deciders send each other their
+// sums. Any decider may advance the state, and all other routers follow the
+// most advanced state, so no election is needed. Only a change in the store
+// ends a roll-out, and the first such change is final.
 //
 // A router acts on a state only while it is in contact with the deciders. A
 // router that has no report from a decider for `kDeciderTimeout`, or a decider
