--- a/claim/claim.h
+++ b/claim/claim.h
@@ -177,9 +177,10 @@
   ClaimAnswer Begin(Instant now, const ClaimKey& key, const std::string& digest,
                     const RequestId& request, std::int64_t wall_ms);
 
-  // Call when `request` has ended and nothing of its call ran: its caller gave
-  // up before the claim was written, or the target refused the call. The claim
-  // is deleted once its creation is resolved.
+  // Call when `request` has ended and no part of its call ran, because its
+  // caller gave up before the call was sent, or because the router or the
+  // target refused the call. If `request` created the claim, the claim is
+  // deleted once the result of the write that creates it is known.
   void Abandon(Instant now, const ClaimKey& key, const RequestId& request);
 
   // Call one of these when the owner's call was sent: MarkDone if the call ran
--- a/dispatch/shared_rate.h
+++ b/dispatch/shared_rate.h
@@ -157,12 +157,12 @@
   // Requests per span for each owner, if there are more owners than
   // `kMinOwners`.
   static constexpr double kRequestsPerOwner = 8;
-  // By how much a window is longer than a span: more than the time that a
+  // By how much a window is longer than a span. It must exceed the time that a
   // request may wait for its connection.
   static constexpr Duration kConnectAllowance = std::chrono::milliseconds(300);
   // Even a target with a very low limit gets a request in this time.
   static constexpr Duration kLongestWindow = std::chrono::seconds(20);
-  // Higher rates are treated as this one.
+  // Largest rate that is used; higher rates are lowered to it.
   static constexpr double kMaxPerS = 1e6;
 
   // The window of an owner whose share in a span is `share` requests. The
--- a/http/target_connection.cc
+++ b/http/target_connection.cc
@@ -56,7 +56,8 @@
 
   void OnHead(HttpHead& head) {
     skipping = true;
-    // This is an interim answer (1xx), and the final answer follows.
+    // A head with a 1xx status is an interim answer; it is skipped, and the
+    // final answer follows.
     if (head.status < kFirstFinalStatus) return;
     idle_time = IdleTimeOf(head);
     if (!head.keep_alive) reusable = false;
--- a/kv/follower.h
+++ b/kv/follower.h
@@ -59,16 +59,17 @@
   struct Options {
     std::string prefix;
     // Timeout of one wait for changes. A wait that the network or the store has
-    // lost is noticed a little later than this, or when `RestartWait` is
-    // called. With 3 s, waits were a third of the calls of a router in a large
-    // fleet.
+    // lost is noticed a little after this time, or when `RestartWait` is
+    // called. A shorter timeout costs calls: with 3 s, a third of the calls of
+    // a router in a large fleet are waits.
     Duration wait_timeout = std::chrono::milliseconds(8000);
     // Average delay from a failed call to the next. The delay doubles with each
     // further failure up to `longest_retry`.
     Duration retry_after = std::chrono::milliseconds(250);
     Duration longest_retry = std::chrono::milliseconds(250);
     // Delay from an answer with changes to the next wait. Without this delay,
-    // each of 143 targets cost each router a call at the start of a fleet.
+    // the start of a fleet costs each router a call for each target: 143 calls
+    // in a fleet of 143 targets.
     Duration spacing = std::chrono::milliseconds(200);
   };
   struct Handlers {
@@ -118,8 +119,9 @@
   StoreRevision revision() const { return revision_; }
   // Revision of the latest change that was reported or skipped.
   StoreRevision latest_change() const { return latest_change_; }
-  // Whether the change of `revision` has been reported or skipped. If an item
-  // was removed before the first read, this is reported only as a missing item.
+  // Whether the change of `revision` has been reported or skipped. A removal
+  // before the first read isn't reported as a change: the item is just absent
+  // from the items of that read.
   bool HasRead(StoreRevision revision) const {
     return revision <= std::max(revision_, latest_change_);
   }
--- a/ledger/recovery.h
+++ b/ledger/recovery.h
@@ -45,7 +45,7 @@
   std::vector<Bill> asked;
 };
 
-// Returns the bills from the copy and the targets that aren't stored yet.
+// Returns the bills in `input.copy` and `input.asked` that aren't stored yet.
 std::vector<Bill> MissingBills(const RecoveryInput& input);
 
 // Returns the transaction that closes the account, or std::nullopt if no record
--- a/relay/dialect.h
+++ b/relay/dialect.h
@@ -58,8 +58,9 @@
   std::chrono::milliseconds time_left{};
   // Priority of the request at the target; 0 is the most urgent.
   int priority = 0;
-  // The id of the event after which a broken stream continues; empty to leave
-  // the request's own header.
+  // Id of the event after which the target continues a broken stream; sent in
+  // place of the caller's last-event-id header. If empty, that header isn't
+  // replaced.
   std::string last_event;
 };
 
@@ -67,16 +68,16 @@
 struct AnswerFacts {
   // The request that it answers; empty if not stated.
   RequestId request;
-  // The target did not run the request.
+  // Whether the target states that it did not run the request.
   bool not_run = false;
-  // The target vouches for this answer.
+  // Whether the target vouches for this answer.
   bool sealed = false;
   // How much longer the target is cold, that is, slow after its start; 0 if not
   // stated.
   std::chrono::milliseconds cold_for{0};
   // The target's rate limit, as stated in the head.
   RateStatement rate;
-  // The target announces that it leaves.
+  // Whether the target announces that it leaves.
   bool leaving = false;
   // How long the target accepts no further requests from this router; 0 if not
   // stated.
--- a/relay/feed_news.h
+++ b/relay/feed_news.h
@@ -61,15 +61,15 @@
   StoreRevision since;
   StoreRevision revision;
   Duration age{};
-  // There are changes that are too large to be sent without a request;
-  // `changes` is empty.
+  // Whether the sender has changes that are sent only on request, because they
+  // are too large or are of a later era; `changes` is then empty.
   bool only_notice = false;
-  // kStateRequest: the sender accepts pages. Older builds don't, and are sent
-  // all items at once.
+  // kStateRequest: whether the sender accepts pages. Older builds don't, and
+  // are sent all items at once.
   bool paged = false;
   // kStateRequest, kState: the page starts after this key.
   std::string after;
-  // kState: another page follows.
+  // kState: whether another page follows.
   bool more = false;
   std::vector<StoreChange> changes;
 };
--- a/relay/planned_stop.cc
+++ b/relay/planned_stop.cc
@@ -96,9 +96,10 @@
     on_.end_unfinished(Left());
   }
   if (machine_.state() == DrainState::kUnready) on_.stop_listening();
-  // Posted after the callbacks of holds that were granted from the tokens of
-  // the ended requests: those waiters have ended too, and return what they were
-  // granted.
+  // When requests end, their tokens may be granted to requests that waited for
+  // a hold. These have ended too, and return the tokens in callbacks that are
+  // already posted. The event is posted so that it is handled after those
+  // callbacks.
   loop_.Post([this] { Apply(DrainEvent::kTimeUp); });
 }
 
--- a/relay/planned_stop.h
+++ b/relay/planned_stop.h
@@ -53,7 +53,7 @@
 namespace quaytrack {
 
 struct PlannedStopTimes {
-  // Time from SIGTERM until the process is killed: --drain-s.
+  // Time from SIGTERM until the process is killed, set by the flag --drain-s.
   Duration total = std::chrono::seconds(8);
   // Time from turning unready until the balancer sends no new connections, if
   // it has another router. The platform's balancer checks every second and
--- a/relay/request_log.h
+++ b/relay/request_log.h
@@ -56,7 +56,7 @@
   // Version of the configuration that the request was admitted under; 0 without
   // one.
   std::uint64_t config_version = 0;
-  // Time from the request's first byte.
+  // Time from the request's first byte to its end.
   Duration took{};
 };
 
@@ -64,7 +64,7 @@
 struct AttemptEnd {
   Ran ran = Ran::kUnknown;
   Instant now{};
-  // Time from the send.
+  // Time from the send to the end of the attempt.
   Duration took{};
   // Fingerprint of the request if it may have run in this attempt; else empty.
   Fingerprint fingerprint;
--- a/relay/state_feed.cc
+++ b/relay/state_feed.cc
@@ -64,8 +64,9 @@
 // many times as large, and up to `kMaxUnrequestedBytes`: for some dozen changes
 // in a long list, a round trip costs more than it saves.
 constexpr std::size_t kMinItemsToChangesRatio = 4;
-// The limit is on what each reader of a hall sends to all its routers; the
-// answer to a request comes from one reader only.
+// Changes above this limit are sent only on request: without one, each reader
+// of a hall sends them to all its routers, while the answer to a request comes
+// from one reader only.
 constexpr std::size_t kMaxUnrequestedBytes = 32 * 1024;
 // A request without an answer goes to another reader after this time, and to
 // the next one after twice as long. A reader that is slow to answer is likely
@@ -103,8 +104,9 @@
   WaitForReaders(within);
 }
 
-// Follows the store after `within`, from the items that this router has, unless
-// a reader has shown by then that this router is current or is sending pages.
+// Waits for `within`, then lets this router follow the store itself, starting
+// from the items that it has. Does nothing if a reader has shown by then that
+// this router is current. Waits again while a reader is sending pages.
 void StateFeed::WaitForReaders(Duration within) {
   start_timer_ = context_.loop.After(within, [this, within] {
     start_timer_.reset();
--- a/relay/state_feed.h
+++ b/relay/state_feed.h
@@ -118,15 +118,16 @@
   // to be in force.
   static constexpr Duration kFreshFor = std::chrono::milliseconds(1500);
 
-  // How long a starting router waits for a reader's items. Links are open some
-  // hundred milliseconds after the list of routers was read.
+  // How long a starting router waits for a reader's items before it reads the
+  // store itself. The router's links to readers open some hundred milliseconds
+  // after it has read the list of routers.
   static constexpr Duration kDefaultReaderTimeout =
       std::chrono::milliseconds(3000);
 
   struct Options {
     FeedName name = FeedName::kConfig;
     StoreFollower::Options follower;
-    // Longer than `kFreshFor` for state that peers also send each other by
+    // Longer than `kFreshFor` for state that peers also send each other in
     // other ways.
     Duration fresh_for = kFreshFor;
   };
--- a/router/forward_impl.h
+++ b/router/forward_impl.h
@@ -258,8 +258,9 @@
   exchange_->Reply(ReplyFor(refusal_));
 }
 
-// Releases the queue entry, hold and claim; the call did not run, or it may be
-// repeated.
+// Releases the request's queue entry, hold and claim, and ends the request.
+// Called only if no part of its call ran, or if the call may be repeated: such
+// a call is billed when its caller repeats it.
 template <ForwardJob Job>
 void Forward<Job>::Abandon() {
   auto queue = context_.queues.find(basics_.group);
--- a/router/request_reader.h
+++ b/router/request_reader.h
@@ -42,8 +42,9 @@
   std::int64_t prompt_bytes = 0;
   // Hash of the start of the prompt, for prefix affinity; never 0.
   std::uint64_t prefix_hash = 1;
-  // The body for the engine: as the caller sent it, with max_tokens and usage
-  // filled in.
+  // The body for the engine: the caller's body with `max_tokens` set in place
+  // of `max_completion_tokens` and, for a stream,
+  // `stream_options.include_usage` set to true.
   std::string engine_body;
 
   // Returns an upper bound of the cost.
