--- a/http/caller_connection.cc
+++ b/http/caller_connection.cc
@@ -115,7 +115,8 @@
   server_.loop_.Post([keep = shared_from_this()] {
     keep->handing_over_ = false;
     if (!keep->open()) return;
-    // The caller has disconnected before the handler got its request.
+    // If the caller disconnected before this task ran, the handler isn't
+    // called.
     if (keep->socket_->PeerHasClosed()) return keep->Abort();
     keep->server_.handler_(keep, std::exchange(keep->request_, {}));
   });
--- a/ledger/recovery.h
+++ b/ledger/recovery.h
@@ -34,8 +34,8 @@
 
 struct RecoveryInput {
   Incarnation dead;
-  // All records, the dead router's batches and the existing markers, from one
-  // snapshot of the key-value service.
+  // The state of every shard, the dead router's batches in the journal, and the
+  // existing markers, all from one snapshot of the key-value service.
   std::vector<ShardState> shards;
   std::vector<BillBatch> journal;
   std::set<std::string> existing_markers;
--- a/prepaid/store_view.h
+++ b/prepaid/store_view.h
@@ -53,7 +53,8 @@
   PrepaidRecord record;
   KeyRevision spend_key;
   SpendAccount spend;
-  // Spending that this state includes and the confirmed state doesn't.
+  // Spending that this state includes and the latest confirmed state of the
+  // store doesn't.
   std::map<CustomerName, Tokens> reported;
 };
 
--- a/relay/link_monitor.h
+++ b/relay/link_monitor.h
@@ -43,8 +43,8 @@
 
  private:
   static constexpr double kBytesPerMegabit = 1e6 / 8;
-  // Bytes of the IP and TCP headers of a data packet or an acknowledgement: 40,
-  // and more with options.
+  // Assumed size in bytes of the IP and TCP headers of a data packet or an
+  // acknowledgement: 40 without options, more with them.
   static constexpr double kHeaderBytes = 60;
 
   Loop& loop_;
--- a/relay/prepaid_store.cc
+++ b/relay/prepaid_store.cc
@@ -17,11 +17,11 @@
 // How often the ledger is polled for due work, in addition to the events that
 // make work due.
 constexpr Duration kCycleInterval = milliseconds(100);
-// Routers whose writes conflicted retry after a random time up to this, in
-// milliseconds. The maximum doubles with each further rejection up to
-// `kMaxRetryJitterMs`: when fifteen holders have the store back after a cut,
-// each has to change the record, and takes some 30 ms from reading it to
-// writing it.
+// Maximum of the random delay, in milliseconds, after which a router retries a
+// write that was rejected because another router had changed the record. The
+// maximum doubles with each further rejection up to `kMaxRetryJitterMs`: when
+// fifteen holders reach the store again after a cut, each has to change the
+// record, which takes some 30 ms from the read to the write.
 constexpr int kRetryJitterMs = 8;
 constexpr int kMaxRetryJitterMs = 128;
 
--- a/relay/relayed_request.cc
+++ b/relay/relayed_request.cc
@@ -380,8 +380,9 @@
   Apply(RelayEvent::kAnswerComplete);
 }
 
-// Called when nothing was written to the target, as it may no longer receive
-// work. The attempt doesn't count as a send and uses no retry.
+// Called when an attempt ended before a byte was sent, because its target was
+// closed to new work in the meantime. The attempt doesn't count as a send and
+// uses no retry.
 void RelayedRequest::OnSendHeldBack(const AttemptResult& result) {
   LogSendHeldBack(id(), progress_.choice.target);
   context_.metrics.CountHeldBack();
--- a/router/forward_impl.h
+++ b/router/forward_impl.h
@@ -316,7 +316,8 @@
 
 template <ForwardJob Job>
 void Forward<Job>::RefuseUnsent() {
-  // This request waits for another call with its key, which may have run.
+  // A request that is still claiming may have joined another call with the same
+  // key; that other call may have run.
   const bool joined = state() == ForwardState::kClaiming && claim_.joined();
   if (joined) {
     return Refuse({RefusalCode::kInProgress,
--- a/router/request_reader.cc
+++ b/router/request_reader.cc
@@ -101,7 +101,8 @@
       std::string(field) + " must be a whole number from " +
       std::to_string(low) + " to " + std::to_string(high);
   if (!it.is_number_integer()) return Fault(field, allowed);
-  // Unsigned values above the signed range would wrap around.
+  // An unsigned value above the signed range would become negative in the
+  // conversion to std::int64_t below.
   const bool too_large =
       it.is_number_unsigned() &&
       it.get<std::uint64_t>() > static_cast<std::uint64_t>(high);
